--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -12,11 +12,11 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.intake import Intake
-from test_gap import _long
-from test_membership import _leader, _until
+from test_gap import _long_job
+from test_membership import _acting_leader, _wait_until
 from test_placement_rentals import spec as made
 
-GOOD = _long(1, 2)
+GOOD = _long_job(1, 2)
 OF_TEXT = ("nameId", "jobclass", "owner", "shape", "urgency", "bundle")
 OF_NUMBER = ("vcpus", "gpus", "memoryGb", "pullGb", "expectedS", "savepointS", "flushS")
 OF_CHOICE = ("oneZone", "spread", "standby")
@@ -137,7 +137,7 @@
             for member in world.members:
                 status, said = await world.request("users", member, "POST", "/v2/runs", raw, 5.0)
                 assert status == 400 and _plain(said["error"])
-        node = _leader(world)
+        node = _acting_leader(world)
         assert node is not None and node.term is not None and not node.term.jobs
         jobs = []
         for changes in RUNS:
@@ -146,7 +146,7 @@
             world.spawn(world.user(jobs[-1], 60.0 if changes.get("shape") else None))
         names = [job["nameId"] for job in jobs]
         await asyncio.sleep(0.1)
-        await _until(world, 200.0, lambda: all(world.jobs[name]["over"] for name in names))
+        await _wait_until(world, 200.0, lambda: all(world.jobs[name]["over"] for name in names))
         if world.failure is not None:
             raise world.failure
 
@@ -167,8 +167,8 @@
     monkeypatch.setattr("chalkgrade.sharing.gates.zones_open", one_of_them)
 
     async def story(world: World) -> None:
-        world.spawn(world.user(_long(1, 4) | {"oneZone": True, "spread": True}, None))
-        await _until(world, 60.0, lambda: world.failure is not None)
+        world.spawn(world.user(_long_job(1, 4) | {"oneZone": True, "spread": True}, None))
+        await _wait_until(world, 60.0, lambda: world.failure is not None)
         assert world.failure is not None
         raise world.failure
 
@@ -189,15 +189,17 @@
         monkeypatch.setattr(Intake, "_unless_known", told)
 
     async def story(world: World) -> None:
-        jobs = [_long(1, 2) | {"owner": "red", "vcpus": 4.0}, _long(2, 2), _long(3, 30)]
+        jobs = [_long_job(1, 2) | {"owner": "red", "vcpus": 4.0}, _long_job(2, 2), _long_job(3, 30)]
         for job in jobs:
             world.spawn(world.user(job, None))
         await asyncio.sleep(0.1)
-        await _until(world, 60.0, lambda: all(world.jobs[j["nameId"]]["accepted"] for j in jobs))
+        await _wait_until(
+            world, 60.0, lambda: all(world.jobs[j["nameId"]]["accepted"] for j in jobs)
+        )
         world.TEAMS = ({"name": "red", "cpus": 0, "cpus_max": 2}, {"name": "green"})
         for member in world.members:
             await world.restart(member, 0.2)
-        await _until(world, 30.0, lambda: _leader(world) is not None)
+        await _wait_until(world, 30.0, lambda: _acting_leader(world) is not None)
         await asyncio.sleep(4.0)
         for job in jobs:
             for member in world.members:
@@ -205,15 +207,15 @@
                 assert answer[0] == 200, (job["nameId"], answer)
                 path = f"/v2/runs/{job['nameId']}"
                 assert (await world.request("users", member, "GET", path, b"", 5.0))[0] == 200
-        new = _long(9, 1)
+        new = _long_job(9, 1)
         answer = await world.request("users", "n-0", "POST", "/v2/runs", new, 5.0)
         assert answer[0] == 422 and "unknown team" in answer[1]["error"]
         # What ran goes on, and nothing else stands still with what can't start any more.
-        free = _long(10, 2) | {"owner": "green", "expectedS": 3.0}
+        free = _long_job(10, 2) | {"owner": "green", "expectedS": 3.0}
         monkeypatch.setitem(world._teams, "green", world._teams["blue"])
         world.spawn(world.user(free, None))
         await asyncio.sleep(0.1)
-        await _until(world, 90.0, lambda: world.jobs[free["nameId"]]["over"] == "done")
+        await _wait_until(world, 90.0, lambda: world.jobs[free["nameId"]]["over"] == "done")
 
     if bug:
         with pytest.raises((AssertionError, Broken), match="422"):
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -18,8 +18,8 @@
 from chalkgrade.region.rules import Broken, History
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.serving.lookups import Lookups
-from test_membership import _leader, _until
-from test_restarts import _spec
+from test_membership import _acting_leader, _wait_until
+from test_restarts import _any_machine_job
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "first-day.toml"
 LEASE_S, REPORT_S = 12.0, 3.0
@@ -51,7 +51,9 @@
     async def story(world: World) -> None:
         names = []
         for number in range(1, 13):
-            made = _spec(world, number, tasks=4, expectedS=25.0, pullGb=0.1, oneZone=False)
+            made = _any_machine_job(
+                world, number, tasks=4, expectedS=25.0, pullGb=0.1, oneZone=False
+            )
             del world.jobs[made["nameId"]]
             names.append(made["nameId"])
             world.spawn(world.user(made, None))
@@ -72,7 +74,7 @@
             if world.failure is not None:
                 raise world.failure
             done = [name for name in names if world.jobs[name]["over"]]
-            node = _leader(world)
+            node = _acting_leader(world)
             if node is not None and node.term is not None and world.now > begun + 40.0:
                 for name in chosen:
                     machine = node.term.fleet.machines.get(name)
@@ -120,27 +122,27 @@
 
 def test_a_copy_at_another_controller_is_no_worker_that_came_back() -> None:
     async def story(world: World) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         assert leader is not None
         other = next(n for n in world.nodes.values() if n is not None and n is not leader)
         reception, lead = other.reception, leader.settings.member
-        before = other.views.of[lead].returned_at
+        before = other.views.by_member[lead].returned_at
         for seq, status in ((7, 421), (7, 421), (5, 421)):
             made = {"host": "host-900", "tenure": 2, "seq": seq, "baton": 1, "hosttype": "small"}
             raw = msgspec.json.encode(made | {"site": "a", "tasks": []})
             answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
             assert answer == (status, {"reportsTo": lead})
         assert not reception.relayed and not reception.bounced
-        assert other.views.of[lead].returned_at == before
+        assert other.views.by_member[lead].returned_at == before
         # A newer one at once: what came before was a copy, and this is the worker itself.
         raw = raw.replace(b'"seq":5', b'"seq":8')
         answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
         assert answer == (421, {"reportsTo": lead}) and not reception.relayed
-        assert other.views.of[lead].returned_at == before
+        assert other.views.by_member[lead].returned_at == before
         await asyncio.sleep(1.0)
         raw = raw.replace(b'"seq":8', b'"seq":9')
         await world.within(other.settings.member, other.handle("POST", "/hello", raw))
-        assert other.views.of[lead].returned_at > before  # a newer report: it did come back
+        assert other.views.by_member[lead].returned_at > before  # a newer report: it did come back
 
     tell(story, loss=0.0)
 
@@ -151,16 +153,16 @@
 
     async def story(world: World) -> None:
         for number in range(1, 7):
-            world.spawn(world.user(_spec(world, number, tasks=4, expectedS=40.0), None))
+            world.spawn(world.user(_any_machine_job(world, number, tasks=4, expectedS=40.0), None))
         await asyncio.sleep(25.0)
         for _ in range(3):
-            node = _leader(world)
+            node = _acting_leader(world)
             assert node is not None
             old = node.settings.member
             world.isolate(old, 25.0, hold)
             cut_at, before = world.now, world.lease_ends
             await asyncio.sleep(5.0)
-            heir = _leader(world)
+            heir = _acting_leader(world)
             assert heir is not None and heir.settings.member != old and heir.term is not None
             there = set(world.workers)
 
@@ -169,7 +171,7 @@
                 fresh = [n for n in there & world.workers.keys() if n in seen and seen[n].baton]
                 return len(fresh) >= 0.9 * len(there & world.workers.keys())
 
-            await _until(world, 9.0, moved)
+            await _wait_until(world, 9.0, moved)
             assert world.now - cut_at < 14.0
             assert not world.nodes[old].up()  # type: ignore[union-attr]
             await asyncio.sleep(20.0)
@@ -185,9 +187,9 @@
 
     async def story(world: World) -> None:
         for number in range(1, 5):
-            world.spawn(world.user(_spec(world, number, tasks=4, expectedS=40.0), None))
+            world.spawn(world.user(_any_machine_job(world, number, tasks=4, expectedS=40.0), None))
         await asyncio.sleep(25.0)
-        node = _leader(world)
+        node = _acting_leader(world)
         assert node is not None
         world.store.outage(18.0)
         world.isolate(node.settings.member, 18.0, False)
@@ -309,9 +311,9 @@
 
 def _one_by_one(patch: pytest.MonkeyPatch) -> None:
     async def present(self: Lookups, name: str) -> set[str]:
-        if not self._ledger.asking.take():
+        if not self._ledger.queries.take():
             raise NoAnswer("too many questions")
-        return await self._ledger.present([JOB_PREFIX + name, END_PREFIX + name])
+        return await self._ledger.existing_keys([JOB_PREFIX + name, END_PREFIX + name])
 
     patch.setattr(Lookups, "present", present)
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -347,7 +347,7 @@
         if case == "leader gone":  # nobody can become leader: only reads are left
             for name, node in world.nodes.items():
                 if node is not None:
-                    node.leadership.able = lambda: False
+                    node.leadership.is_eligible = lambda: False
                     assert name
         if case == "outage":
             world.store.outage(20.0)
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -18,8 +18,8 @@
 from chalkgrade.region.world import World, tell
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.renting.renter import Renter
-from test_gap import _long
-from test_membership import _monitor, _until
+from test_gap import _long_job
+from test_membership import _check_single_leader, _wait_until
 
 Patch = pytest.MonkeyPatch
 LAGS = ["slow", "late", "answers lost"]
@@ -88,12 +88,12 @@
 
 
 def _job(number: int, tasks: int) -> dict[str, Any]:
-    return _long(number, tasks) | {"expectedS": 6.0, "standby": number % 2 == 0}
+    return _long_job(number, tasks) | {"expectedS": 6.0, "standby": number % 2 == 0}
 
 
 async def _day(world: Any, moment: str, lag: str) -> None:
     """Work comes in waves, each with more machines; then all is over and they are returned."""
-    world.spawn(_monitor(world))
+    world.spawn(_check_single_leader(world))
     world.moment = moment
     if lag == "answers lost":
         world.store.unanswered = (world.now + 60.0, 0.4)
@@ -104,13 +104,13 @@
     for wave in range(6):
         world.spawn(world.user(_job(wave + 1, 4 + 4 * wave), None))
         await asyncio.sleep(8.0)
-    await _until(world, 300.0, lambda: len(world.jobs) == 6)
-    await _until(world, 300.0, lambda: all(job["over"] for job in world.jobs.values()))
+    await _wait_until(world, 300.0, lambda: len(world.jobs) == 6)
+    await _wait_until(world, 300.0, lambda: all(job["over"] for job in world.jobs.values()))
     assert len(world.met) == 3, f"no pass: {world.met}"
     rented = {name for hosts in world.cloud.hires.values() for name in hosts}
     assert rented, "machines were rented"
     # Nobody keeps a machine without work: also none whose hire's answer was lost.
-    await _until(world, IDLE_S + 40.0, lambda: not world.cloud.machines)
+    await _wait_until(world, IDLE_S + 40.0, lambda: not world.cloud.machines)
 
 
 IDLE_S = 120.0  # s; nothing is asked for meanwhile
--- a/tests/test_reports_at_start.py
+++ b/tests/test_reports_at_start.py
@@ -13,27 +13,27 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.sharing.queues import Queues
-from test_gap import _long
-from test_membership import _leader, _until
+from test_gap import _long_job
+from test_membership import _acting_leader, _wait_until
 
 Patch = pytest.MonkeyPatch
 
 
 async def _new_term(world: World, seconds: float = 15.0) -> Term:
     """End who leads; the term of the next one, before any worker was answered in it."""
-    old = _leader(world)
+    old = _acting_leader(world)
     assert old is not None
     world.spawn(world.restart(old.settings.member, 5.0))
 
     def begun() -> bool:
-        node = _leader(world)
+        node = _acting_leader(world)
         return node is not None and node is not old and node.term is not None and node.term.ready
 
     end = world.now + seconds
     while not begun():
         assert world.now < end
         await asyncio.sleep(0.01)
-    node = _leader(world)
+    node = _acting_leader(world)
     assert node is not None and node.term is not None
     return node.term
 
@@ -65,16 +65,16 @@
         _any_end(monkeypatch)
 
     async def story(world: World) -> None:
-        spec = _long(1, 1) | {"expectedS": 80.0}
+        spec = _long_job(1, 1) | {"expectedS": 80.0}
         world.spawn(world.user(spec, None))
         for number in range(2, 5):  # machines that the task could go to
-            world.spawn(world.user(_long(number, 3) | {"expectedS": 60.0}, None))
+            world.spawn(world.user(_long_job(number, 3) | {"expectedS": 60.0}, None))
         name = spec["nameId"]
 
         def runs() -> bool:
             return any(task.status == "running" for _, task in world.of_job(name))
 
-        await _until(world, 90.0, runs)
+        await _wait_until(world, 90.0, runs)
         worker, task = world.of_job(name)[0]
         # Its session ends while it is cut off, and the first report of the next one comes at once.
         left = worker.lease_from + world.LEASE_S - world.now
@@ -83,7 +83,7 @@
         worker._exit(task, "error")
         copy = worker.report()
         assert [e["cause"] for e in copy["tasks"] if e["task"] == task.name] == ["error"]
-        await _until(world, 30.0, lambda: worker.tenure > copy["tenure"] and runs())
+        await _wait_until(world, 30.0, lambda: worker.tenure > copy["tenure"] and runs())
         assert world.of_job(name)[0][0] is worker  # the same attempt once more, same machine
         assert (task.name, task.number) in worker.tasks
         world.cut({worker.name}, set(world.members), 8.0, False)
@@ -92,11 +92,11 @@
         await asyncio.sleep(0.3)
         machine = term.fleet.machines[worker.name]
         assert machine.tenure == copy["tenure"]  # it was taken, before any true report
-        assert term.leadership.acting()
+        assert term.leadership.may_act()
         await asyncio.sleep(25.0)
         _told(world)
         assert (task.name, task.number) in worker.tasks, "given up, though it was there"
-        await _until(world, 200.0, lambda: world.jobs[name]["over"] == "done")
+        await _wait_until(world, 200.0, lambda: world.jobs[name]["over"] == "done")
 
     if bug:
         with pytest.raises((Broken, AssertionError), match="ran_twice|given up"):
@@ -138,8 +138,8 @@
 
     async def story(world: World) -> None:
         for number in range(1, 17):
-            world.spawn(world.user(_long(number, 11) | {"expectedS": 200.0}, None))
-        await _until(world, 60.0, lambda: len(world.present()) > 20)
+            world.spawn(world.user(_long_job(number, 11) | {"expectedS": 200.0}, None))
+        await _wait_until(world, 60.0, lambda: len(world.present()) > 20)
         chosen = sorted(world.workers)[:3]
         first = [world.workers[name].report() | {"tasks": []} for name in chosen]
         for body in first:
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.25)
             given = [n for n in chosen if n in term.fleet.machines]
             assert not any(term.fleet.machines[n].attempts for n in given), "work for the gone"
-        await _until(world, 40.0, lambda: not set(chosen) & set(term.fleet.machines))
+        await _wait_until(world, 40.0, lambda: not set(chosen) & set(term.fleet.machines))
 
     if bug is None:
         tell(story, 4, loss=0.0)
@@ -186,8 +186,8 @@
 
     async def story(world: World) -> None:
         for number in range(1, 5):
-            world.spawn(world.user(_long(number, 4) | {"expectedS": 60.0}, None))
-        await _until(world, 60.0, lambda: len(world.present()) >= 12)
+            world.spawn(world.user(_long_job(number, 4) | {"expectedS": 60.0}, None))
+        await _wait_until(world, 60.0, lambda: len(world.present()) >= 12)
         names = sorted({worker.name for worker, _ in world.present()})
         copies = [world.workers[name].report() for _ in range(4) for name in names]
         term = await _new_term(world)
@@ -270,14 +270,14 @@
 
     async def story(world: World) -> None:
         for number in range(1, 5):
-            world.spawn(world.user(_long(number, 4) | {"expectedS": 30.0}, None))
-        await _until(world, 60.0, lambda: len(world.present()) == 16)
+            world.spawn(world.user(_long_job(number, 4) | {"expectedS": 30.0}, None))
+        await _wait_until(world, 60.0, lambda: len(world.present()) == 16)
         await asyncio.sleep(12.0)
         await _new_term(world)
         carried = {task.name for _, task in world.present()}
         assert carried
         seen.clear()
-        await _until(world, 120.0, lambda: all(job["over"] for job in world.jobs.values()))
+        await _wait_until(world, 120.0, lambda: all(job["over"] for job in world.jobs.values()))
         assert all(seconds > 0.45 * 30.0 for seconds in seen), "short"
 
     if bug:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,9 +10,9 @@
 from chalkgrade import constants
 from chalkgrade.experiments import failover
 from chalkgrade.machines.fleet import Fleet, Report
-from chalkgrade.membership.presence import MEMBERS_PREFIX
+from chalkgrade.membership.messages import MemberStatus
+from chalkgrade.membership.registration import MEMBERS_PREFIX
 from chalkgrade.membership.views import ALIVE, Views
-from chalkgrade.membership.words import Word
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import Attempt, Job, JobValue, parse_submission
 from chalkgrade.record.oplog import OpLog
@@ -21,14 +21,14 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.node import Node
+from chalkgrade.state.client import LedgerClient
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
-from chalkgrade.state.ledger import Ledger
-from test_membership import Two, _leader, _monitor, _until
+from test_membership import MultipleLeaders, _acting_leader, _check_single_leader, _wait_until
 
 BACK_S = 0.2
 
 
-def _spec(world: World, number: int, **changes: Any) -> dict[str, Any]:
+def _any_machine_job(world: World, number: int, **changes: Any) -> dict[str, Any]:
     """A job that runs anywhere, known to the world."""
     plain = {"jobclass": "small", "owner": "blue", "oneZone": False, "spread": False}
     plain |= {"hosttypes": None, "site": None, "standby": True, "shape": "batch", "tasks": 4}
@@ -38,19 +38,21 @@
     return spec
 
 
-async def _restarted(world: World, who: list[str], after: float = BACK_S) -> tuple[float, Node]:
+async def _restart_and_wait(
+    world: World, who: list[str], after: float = BACK_S
+) -> tuple[float, Node]:
     """End these and start them again; how long until somebody leads, and who does."""
-    before = world.nodes[who[0]].leadership.highest  # type: ignore[union-attr]
+    before = world.nodes[who[0]].leadership.highest_token  # type: ignore[union-attr]
     for member in who:
         world.spawn(world.restart(member, after))
     await asyncio.sleep(0.001)
 
     def next_leader() -> bool:
-        node = _leader(world)
+        node = _acting_leader(world)
         return node is not None and node.leadership.token > before
 
-    took = await _until(world, 30.0, next_leader)
-    node = _leader(world)
+    took = await _wait_until(world, 30.0, next_leader)
+    node = _acting_leader(world)
     assert node is not None
     return took, node
 
@@ -61,14 +63,14 @@
     gaps: list[float] = []
 
     async def story(world: World) -> None:
-        world.spawn(_monitor(world))
+        world.spawn(_check_single_leader(world))
         for _ in range(4):
-            node = _leader(world)
+            node = _acting_leader(world)
             assert node is not None
             lead = node.settings.member
             others = [member for member in world.members if member != lead]
             who = {"leader": [lead], "two": [lead, others[0]], "all": [lead, *others]}[case]
-            took, _ = await _restarted(world, who)
+            took, _ = await _restart_and_wait(world, who)
             gaps.append(took - BACK_S)
             await asyncio.sleep(world.rng.uniform(0.2, 4.0))
         if world.failure is not None:
@@ -81,11 +83,11 @@
 
 def test_back_within_an_outage_the_next_leads_when_it_ends() -> None:
     async def story(world: World) -> None:
-        world.spawn(_monitor(world))
+        world.spawn(_check_single_leader(world))
         await asyncio.sleep(2.0)
         world.store.outage(8.0)
         await asyncio.sleep(3.0)
-        took, _ = await _restarted(world, list(world.members))
+        took, _ = await _restart_and_wait(world, list(world.members))
         assert took < 5.0 + 0.8, took
         if world.failure is not None:
             raise world.failure
@@ -108,7 +110,7 @@
         while world.now < end:
             assert all(node.up() for node in nodes)
             await asyncio.sleep(0.1)
-        raw = msgspec.json.encode(_spec(world, 1))
+        raw = msgspec.json.encode(_any_machine_job(world, 1))
         while True:
             answer = await world.within(nodes[0].settings.member, nodes[0].handle(
                 "POST", "/v2/runs", raw))  # fmt: skip
@@ -124,7 +126,7 @@
 
 async def _beside(world: World) -> None:
     """Two processes of one name on two machines: the older one leads, and stands still."""
-    old = _leader(world)
+    old = _acting_leader(world)
     assert old is not None
     member, lead = old.settings.member, old.leadership
     world.loop.freeze(member, world.now + 0.9)
@@ -132,10 +134,10 @@
     world.boot(member, "on another machine")
     for _ in range(400):
         row = world.store.keys.get(LEADER_KEY)
-        if lead.acting() and (row is None or row[1] != lead.token):
-            raise Two("the older one may act, and the key is not its own")
+        if lead.may_act() and (row is None or row[1] != lead.token):
+            raise MultipleLeaders("the older one may act, and the key is not its own")
         await asyncio.sleep(0.01)
-    await _until(world, 20.0, lambda: _leader(world))
+    await _wait_until(world, 20.0, lambda: _acting_leader(world))
     old.stop()
 
 
@@ -146,18 +148,18 @@
 
 def _any_home_is_mine(patch: pytest.MonkeyPatch) -> None:
     """Whoever has the name ends the lease, wherever the other process runs."""
-    plain = Leadership._left_over
+    plain = Leadership._is_own_stale_key
 
     def left_over(self: Leadership, value: Any) -> bool:
         return bool(value.member == self.member) or plain(self, value)
 
-    patch.setattr(Leadership, "_left_over", left_over)
+    patch.setattr(Leadership, "_is_own_stale_key", left_over)
 
 
 def test_ending_the_lease_of_a_process_elsewhere_is_found() -> None:
     with pytest.MonkeyPatch.context() as patch:
         _any_home_is_mine(patch)
-        with pytest.raises(Two):
+        with pytest.raises(MultipleLeaders):
             for seed in range(4):
                 tell(_beside, seed, loss=0.0)
 
@@ -166,13 +168,13 @@
     """Its own key stood until its lease ended, and nobody led meanwhile."""
 
     async def story(world: World) -> None:
-        world.spawn(_monitor(world))
-        node = _leader(world)
+        world.spawn(_check_single_leader(world))
+        node = _acting_leader(world)
         assert node is not None
         token = node.leadership.token
-        node.leadership.depose()
-        new = lambda: (n := _leader(world)) is not None and n.leadership.token > token  # noqa: E731
-        assert await _until(world, 5.0, new) < 0.3
+        node.leadership.step_down()
+        new = lambda: (n := _acting_leader(world)) is not None and n.leadership.token > token  # noqa: E731
+        assert await _wait_until(world, 5.0, new) < 0.3
         if world.failure is not None:
             raise world.failure
 
@@ -183,12 +185,12 @@
     """The key comes to a name whose process has forgotten the lease that was made ready."""
 
     async def story(world: World) -> None:
-        world.spawn(_monitor(world))
-        node = _leader(world)
+        world.spawn(_check_single_leader(world))
+        node = _acting_leader(world)
         assert node is not None
         other = next(n for n in world.nodes.values() if n is not None and n is not node)
         member = other.settings.member
-        offer = await world.within(member, other.leadership.offer())
+        offer = await world.within(member, other.leadership.prepare_takeover())
         world.spawn(world.restart(member, BACK_S))
         await asyncio.sleep(0.1)
         home, lead = other.leadership.home, node.leadership
@@ -197,7 +199,7 @@
             lead.hand_over(member, offer.permit, offer.nonce, offer.lease_s, home),
         )
         assert moved
-        assert await _until(world, 5.0, lambda: _leader(world)) < 0.5
+        assert await _wait_until(world, 5.0, lambda: _acting_leader(world)) < 0.5
 
     tell(story, 1, loss=0.0)
 
@@ -208,10 +210,10 @@
     async def story(world: World) -> None:
         await asyncio.sleep(constants.YOUNG_S)
         for _ in range(3):
-            node = _leader(world)
+            node = _acting_leader(world)
             assert node is not None
             member = node.settings.member
-            _, then = await _restarted(world, [member])
+            _, then = await _restart_and_wait(world, [member])
             assert then.settings.member != member
             await asyncio.sleep(constants.YOUNG_S + 1.0)
 
@@ -222,10 +224,10 @@
     """Without a read it knew no bound for tokens and called the leader's one from the future."""
 
     async def story(world: World) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         assert leader is not None
         world.store.rev += 1_000_000
-        _, leader = await _restarted(world, [leader.settings.member])
+        _, leader = await _restart_and_wait(world, [leader.settings.member])
         await asyncio.sleep(3.0)
         lead = leader.settings.member
         member = next(m for m in world.members if m != lead)
@@ -240,7 +242,7 @@
             member, node.handle("POST", "/hello", msgspec.json.encode(report | {"site": "a"}))
         )
         assert answer == (421, {"reportsTo": lead})
-        assert not node.views.dropped.get("token from the future")
+        assert not node.views.unlogged_drops.get("token from the future")
 
     tell(story, 2, loss=0.0)
 
@@ -250,22 +252,22 @@
     clock = HandClock()
     views = Views("n-0", ["n-1", "n-2"], clock)
 
-    def word(process: str, stamp: int, seq: int) -> Word:
-        return Word("n-1", process, (stamp, 0), seq, clock.wall())
+    def word(process: str, stamp: int, seq: int) -> MemberStatus:
+        return MemberStatus("n-1", process, (stamp, 0), seq, clock.wall())
 
-    assert views.take(word("first", 50, 1), answer=True)
+    assert views.accept_status(word("first", 50, 1), answer=True)
     held, recent = word("first", 50, 2), word("first", 50, 3)
     clock.at += 0.2
     # It answers a question put just now, so that it is there, key or no key.
-    assert views.take(word("second", 0, 1), answer=True)
-    assert not views.take(recent, answer=False)
-    assert views.of["n-1"].process == "second" and views.state("n-1") == ALIVE
+    assert views.accept_status(word("second", 0, 1), answer=True)
+    assert not views.accept_status(recent, answer=False)
+    assert views.by_member["n-1"].process == "second" and views.state_of("n-1") == ALIVE
     clock.at += 1.5
-    assert not views.take(held, answer=False)
-    assert views.of["n-1"].process == "second"
-    assert views.take(word("second", 0, 2), answer=False)
-    assert views.take(word("second", 60, 3), answer=False)
-    assert not views.take(word("first", 50, 4), answer=False)
+    assert not views.accept_status(held, answer=False)
+    assert views.by_member["n-1"].process == "second"
+    assert views.accept_status(word("second", 0, 2), answer=False)
+    assert views.accept_status(word("second", 60, 3), answer=False)
+    assert not views.accept_status(word("first", 50, 4), answer=False)
 
 
 def test_a_first_report_that_was_held_proves_no_absence() -> None:
@@ -311,20 +313,20 @@
     """All that it sent comes after its next process, or another, has read the state."""
 
     async def story(world: World) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         assert leader is not None and leader.term is not None
         member, token = leader.settings.member, leader.leadership.token
         held = _Held(leader.http)
         leader.ledger._http = leader.cloud._http = held  # type: ignore[assignment]
-        spec = _spec(world, 1)
+        spec = _any_machine_job(world, 1)
         raw = msgspec.json.encode(spec)
         world.spawn(world.within(member, leader.handle("POST", "/v2/runs", raw)))
-        other = parse_submission(msgspec.json.encode(_spec(world, 2)), 16 * 1024)
+        other = parse_submission(msgspec.json.encode(_any_machine_job(world, 2)), 16 * 1024)
         leader.term.book.add(JobValue(other, 0.0), 0, observe=True)  # it rents for this one
         await asyncio.sleep(1.0)
-        took, then = await _restarted(world, [member], 0.05)
+        took, then = await _restart_and_wait(world, [member], 0.05)
         assert took < 0.5 and then.leadership.token > token
-        await _until(world, 5.0, lambda: then.term is not None and then.term.ready)
+        await _wait_until(world, 5.0, lambda: then.term is not None and then.term.ready)
         commits = [body for _, path, body in held.writes if LEADER_KEY.encode() in body]
         rentals = [body for _, path, body in held.writes if path == "/rentals"]
         assert commits and rentals
@@ -339,7 +341,7 @@
         assert answer[0] == 404  # nobody was told otherwise
         answer = await world.within(name, then.handle("POST", "/v2/runs", raw))
         assert answer[0] == 201
-        await _until(world, 60.0, lambda: len(world.done) == spec["tasks"])
+        await _wait_until(world, 60.0, lambda: len(world.done) == spec["tasks"])
         assert not any(hire in hires for hire in list(world.cloud.hires)[1:])
         term = then.term
         assert term is not None
@@ -404,14 +406,14 @@
 
     async def story(world: World) -> None:
         await asyncio.sleep(constants.YOUNG_S)
-        node = _leader(world)
+        node = _acting_leader(world)
         assert node is not None
         member, before = node.settings.member, world.store.rev
         world.spawn(world.flap(member, 20, 3.0, BACK_S))
         await asyncio.sleep(60.0)
         assert world.store.rev - before < 60 * 3  # changes: its key, and its part of the lead
         assert world.store.refused_calls == 0
-        leads = [n for n in world.nodes.values() if n is not None and n.leadership.acting()]
+        leads = [n for n in world.nodes.values() if n is not None and n.leadership.may_act()]
         assert leads and leads[0].settings.member != member
 
     tell(story, 6, loss=0.0)
@@ -419,13 +421,15 @@
 
 def _no_revision_is_bounded_low(patch: pytest.MonkeyPatch) -> None:
     """As it was: a process that has read nothing believes no token above 6,000."""
-    patch.setattr(Ledger, "revision_bound", lambda self: self.revision_seen + 6000)
+    patch.setattr(LedgerClient, "max_possible_revision", lambda self: self.highest_revision + 6000)
 
 
 def _held_words_count(patch: pytest.MonkeyPatch) -> None:
     """As it was: the process of a word is taken over before the word's age is looked at."""
     patch.setattr(
-        Views, "_succeeds", lambda self, view, word, answer: word.incarnation > view.incarnation
+        Views,
+        "_is_newer_process",
+        lambda self, view, word, answer: word.incarnation > view.incarnation,
     )
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -12,15 +12,15 @@
 from chalkgrade import constants
 from chalkgrade.record.writer import Writer
 from chalkgrade.region.world import World, tell
-from chalkgrade.state.ledger import Ledger
-from test_gap import _long
-from test_membership import _leader, _until
+from chalkgrade.state.client import LedgerClient
+from test_gap import _long_job
+from test_membership import _acting_leader, _wait_until
 
 Patch = pytest.MonkeyPatch
 
 
 def _short(number: int) -> dict[str, Any]:
-    return _long(number, 1) | {"expectedS": 4.0}
+    return _long_job(number, 1) | {"expectedS": 4.0}
 
 
 class Standing(World):
@@ -32,11 +32,11 @@
 
 
 def _strikes(world: Any, how: str, patch: Patch) -> None:
-    plain = Ledger.commit
+    plain = LedgerClient.commit
 
-    async def commit(self: Ledger, conditions: Any, apply: Any, *rest: Any) -> int:
+    async def commit(self: LedgerClient, conditions: Any, apply: Any, *rest: Any) -> int:
         keys = [op.get("write", "") for op in apply]
-        leader = _leader(world)
+        leader = _acting_leader(world)
         struck = leader is not None and leader.ledger is self and not world.met
         if struck and any(key.startswith("cg/log/") for key in keys):
             world.met.append(leader.settings.member)
@@ -45,15 +45,15 @@
             await asyncio.sleep(1e6)
         return await plain(self, conditions, apply, *rest)
 
-    patch.setattr(Ledger, "commit", commit)
+    patch.setattr(LedgerClient, "commit", commit)
     # A second copy, or a look at what was written, would get around it.
-    patch.setattr(Ledger, "_may_hedge", lambda self, changes: False)
+    patch.setattr(LedgerClient, "_may_hedge", lambda self, changes: False)
 
 
 async def _served(world: Any, within: float) -> None:
     world.spawn(world.user(_short(1), None))
-    await _until(world, within, lambda: world.met)
-    await _until(world, within, lambda: world.jobs["run-000001"]["over"] == "done")
+    await _wait_until(world, within, lambda: world.met)
+    await _wait_until(world, within, lambda: world.jobs["run-000001"]["over"] == "done")
 
 
 @pytest.mark.parametrize("how", ["cancelled", "for ever"])
@@ -62,9 +62,9 @@
 ) -> None:
     async def story(world: Any) -> None:
         _strikes(world, how, monkeypatch)
-        leader = _leader(world)
+        leader = _acting_leader(world)
         await _served(world, 40.0)
-        assert _leader(world) is leader  # it costs no lead
+        assert _acting_leader(world) is leader  # it costs no lead
 
     tell(story, 3, loss=0.0, kind=Standing)
 
@@ -87,7 +87,7 @@
     plain = Writer._write
 
     async def story(world: Any) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         first = leader.term
 
         async def write(self: Writer, changes: Any, edits: Any) -> None:
@@ -113,11 +113,11 @@
 
     async def story(world: Any) -> None:
         world.spawn(world.user(_short(1), None))
-        await _until(world, 30.0, lambda: world.jobs and world.jobs["run-000001"]["accepted"])
-        leader = _leader(world)
+        await _wait_until(world, 30.0, lambda: world.jobs and world.jobs["run-000001"]["accepted"])
+        leader = _acting_leader(world)
         world.store.outage(constants.STALL_S + 15.0)
         await asyncio.sleep(constants.STALL_S + 25.0)
-        assert _leader(world) is leader
-        await _until(world, 30.0, lambda: world.jobs["run-000001"]["over"] == "done")
+        assert _acting_leader(world) is leader
+        await _wait_until(world, 30.0, lambda: world.jobs["run-000001"]["over"] == "done")
 
     tell(story, 3, loss=0.0)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -147,7 +147,7 @@
         assert (await others[0].handle("GET", path, b""))[0] == 200
         await asyncio.sleep(70.0)
         # The old leader has woken: it leads no more, and says nothing of its own.
-        assert leader.term is None or leader.leadership.token == leader.leadership.highest
+        assert leader.term is None or leader.leadership.token == leader.leadership.highest_token
 
     tell(story, loss=0.0)
 
@@ -188,7 +188,7 @@
         await asyncio.sleep(25.0)
         assert sum(name.startswith(job["nameId"]) for name in world.done) == 6
         await asyncio.sleep(20.0)
-        assert leader.leadership.acting()
+        assert leader.leadership.may_act()
         assert all(worker.tenure == 1 and worker.alive for worker in first.values())
         # Once the way is open again, the others need not carry reports for ever.
         await asyncio.sleep(2 * constants.RELAY_S)
@@ -201,9 +201,11 @@
     async def story(world: World) -> None:
         _, others = _roles(world)
         node = others[0]
-        before = sum(node.ledger.counts.values())
+        before = sum(node.ledger.response_counts.values())
         assert (await node.handle("GET", "/v2/runs/run-777777", b""))[0] == 404
-        assert sum(node.ledger.counts.values()) - before <= 2  # a watch may have ended meanwhile
+        assert (
+            sum(node.ledger.response_counts.values()) - before <= 2
+        )  # a watch may have ended meanwhile
         asked = [node.handle("GET", f"/v2/runs/run-{number}", b"") for number in range(2000)]
         begun = world.now
         answers = [status for status, _ in await asyncio.gather(*asked)]
@@ -223,11 +225,11 @@
         await asyncio.sleep(1.5)
         node = others[0]
         node.intake.failed_at[leader.settings.member] = world.now * 2  # known not to answer
-        before = sum(node.ledger.counts.values())
+        before = sum(node.ledger.response_counts.values())
         asked = [node.handle("GET", f"/v2/runs/{name}", b"") for name in names]
         answers = await asyncio.gather(*asked)
         assert [status for status, _ in answers] == [200] * 12
-        assert sum(node.ledger.counts.values()) - before <= 6
+        assert sum(node.ledger.response_counts.values()) - before <= 6
 
     tell(story, loss=0.0)
 
@@ -407,7 +409,7 @@
             return status, answer
 
         world.store._commit = first_only  # type: ignore[method-assign]
-        assert await ledger.present(["x/a", "x/b", "x/c", "x/d"]) == {"x/b", "x/c"}
+        assert await ledger.existing_keys(["x/a", "x/b", "x/c", "x/d"]) == {"x/b", "x/c"}
 
     tell(story, loss=0.0)
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.settings import SettingsError, parse
-from chalkgrade.state.limits import Limits
+from chalkgrade.state.limits import EffectiveLimits
 from piped import Piped, production
 from test_settings_and_users import GOOD
 
@@ -157,20 +157,20 @@
 
 def test_a_batch_that_is_rewritten_for_ever_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that does not take the refusal for the fall loses its lead again and again."""
-    monkeypatch.setattr(Limits, "refused", lambda self, largest_b: False)
+    monkeypatch.setattr(EffectiveLimits, "note_rejected_commit", lambda self, largest_b: False)
     with pytest.raises(AssertionError):
         _outlive("taken over", 120, within=60.0)
 
 
 def test_a_refused_large_commit_is_not_repeated_unless_it_may_have_been_applied() -> None:
-    limits = Limits(parse(_with_next("value_kb = 2.0")).cluster.state)
-    assert limits.value_b < 2048 < limits.rewrite_b
-    assert not limits.refused(1000)  # refused for something else
-    assert limits.rewrite_b > 2048
-    assert limits.refused(4000)
-    assert limits.rewrite_b == limits.value_b
-    assert limits.refused(4000)  # another one that was on its way
-    assert not limits.refused(1500)  # what is small and refused has another cause
+    limits = EffectiveLimits(parse(_with_next("value_kb = 2.0")).cluster.state)
+    assert limits.max_value_bytes < 2048 < limits.max_rewrite_bytes
+    assert not limits.note_rejected_commit(1000)  # refused for something else
+    assert limits.max_rewrite_bytes > 2048
+    assert limits.note_rejected_commit(4000)
+    assert limits.max_rewrite_bytes == limits.max_value_bytes
+    assert limits.note_rejected_commit(4000)  # another one that was on its way
+    assert not limits.note_rejected_commit(1500)  # what is small and refused has another cause
 
 
 def _with_next(text: str) -> bytes:
