--- a/src/chalkgrade/membership/__init__.py
+++ b/src/chalkgrade/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Who is there: what each controller knows of the others, and how surely.
+"""Membership: which controllers are alive, and how certain that is.
 
-Ask `views` what is known of a controller (decisions without input or output), `watch`
-to gather the evidence, `presence` for this controller's own key in the state service.
-Suspicion is cheap and may be wrong; what may be done on it is listed in
-docs/membership.md. Nothing here says who leads: that is the lease in `state`.
+`views` derives the state of each controller from evidence and does no I/O, `prober` gathers
+the evidence, `registration` keeps this controller's own key in the state service.
+A suspicion may be wrong; docs/membership.md lists what may be done because of one.
+Leader election is separate: the leader is whoever holds the lease in `state`.
 """
--- a/src/chalkgrade/membership/leader_health.py
+++ b/src/chalkgrade/membership/leader_health.py
@@ -1,7 +1,7 @@
-"""Whether a leader that lives also serves, and when it may give the lead away.
+"""Whether a live leader can do its work, and when it should hand over the leadership.
 
-What ends a lease by itself is no reason here: a leader that the state service refuses,
-or that runs later than its lease allows, is replaced without being asked.
+Faults that end the lease by themselves are not considered here: a leader that the state
+service refuses, or that runs later than its lease allows, is replaced without a handover.
 """
 
 from chalkgrade import constants
@@ -11,40 +11,50 @@
 
 
 class LeaderHealth:
-    """One controller's judgement of itself as a leader."""
+    """A controller's assessment of its own ability to lead."""
 
     def __init__(self, clock: Clock, report_s: float) -> None:
         self.clock = clock
-        # Two reports in a row and a half are missed by chance by nobody.
+        # A machine does not miss two and a half reports in a row by chance.
         self.max_report_silence_s = max(constants.UNFIT_S, constants.SILENT_REPORTS * report_s)
         self.leading_since = -1e9
         self.handover_pause_s = constants.HANDOVER_REST_S
         self.handover_paused_until = -1e9
 
     def start_leading(self) -> None:
-        """The lead begins here."""
+        """Record that this controller became the leader now."""
         self.leading_since = self.clock.now()
 
     def handover_reason(
-        self, cloud_at: float, cloud: bool | None, direct_at: float, machines: int
+        self,
+        cloud_answered_at: float,
+        cloud_reached: bool | None,
+        direct_report_at: float,
+        machines_up: int,
     ) -> str:
-        """Why the lead should be given away, or nothing.
+        """The reason to hand over the leadership, or an empty string if there is none.
 
-        `cloud_at`: when the cloud last answered; `cloud`: whether it did the last time;
-        `direct_at`: when a worker's own report last came; `machines`: of them that are
-        known to be up.
+        `cloud_answered_at`: when the cloud last answered; `cloud_reached`: whether it
+        answered the last request, None without a recent one; `direct_report_at`: when a worker's
+        report last came directly; `machines_up`: number of machines known to be up.
         """
         now = self.clock.now()
         if now < self.handover_paused_until or now - self.leading_since < constants.UNFIT_S:
             return ""
-        if cloud is False and now - max(cloud_at, self.leading_since) > constants.UNFIT_S:
+        if (
+            cloud_reached is False
+            and now - max(cloud_answered_at, self.leading_since) > constants.UNFIT_S
+        ):
             return CLOUD
-        if machines and now - max(direct_at, self.leading_since) > self.max_report_silence_s:
+        if (
+            machines_up
+            and now - max(direct_report_at, self.leading_since) > self.max_report_silence_s
+        ):
             return WORKERS
         return ""
 
     def record_handover(self, moved: bool) -> None:
-        """A handover was tried: the next one only after a pause, which doubles if it moved."""
+        """Record an attempted handover; the pause before the next one doubles if it `moved`."""
         pause = self.handover_pause_s if moved else constants.UNFIT_S
         self.handover_paused_until = self.clock.now() + pause
         if moved:
--- a/src/chalkgrade/membership/prober.py
+++ b/src/chalkgrade/membership/prober.py
@@ -1,4 +1,4 @@
-"""Gathers evidence: asks the others, and on their behalf."""
+"""Gathers evidence on the other controllers: pings them, directly and on behalf of others."""
 
 import asyncio
 import logging
@@ -17,7 +17,7 @@
 
 
 class Prober:
-    """The loop that asks. What it sends a second does not grow with the controllers."""
+    """The probing loop. Its send rate does not grow with the number of controllers."""
 
     def __init__(
         self,
@@ -25,25 +25,25 @@
         peers: Peers,
         clock: Clock,
         rng: random.Random,
-        word: Callable[[], MemberStatus],
-        heard: Callable[[MemberStatus], None],
-        leader: Callable[[], str | None],
+        own_status: Callable[[], MemberStatus],
+        on_status: Callable[[MemberStatus], None],
+        current_leader: Callable[[], str | None],
     ) -> None:
         self.views = views
         self.peers = peers
         self.clock = clock
         self.rng = rng
-        self.own_status = word  # what we say of ourselves
-        self.on_status = heard  # told of each word that was taken in
-        self.current_leader = leader
+        self.own_status = own_status  # returns the status of this controller
+        self.on_status = on_status  # called with each accepted status
+        self.current_leader = current_leader
         self.probe_order = list(views.by_member)
-        rng.shuffle(self.probe_order)  # else all ask the same one at once
+        rng.shuffle(self.probe_order)  # else all controllers would ping the same one at once
         self.pings: dict[str, asyncio.Task[None]] = {}
         self.indirect_probes: dict[str, asyncio.Task[None]] = {}
         self.loops: list[Callable[[], Coroutine[None, None, None]]] = [self.run]
 
     async def run(self) -> None:
-        """Ask the leader each time and one other in turn; look at what is known."""
+        """In each round ping the leader and others in turn, then update the states."""
         due = self.clock.now()
         while True:
             now = self.clock.now()
@@ -59,20 +59,21 @@
             await asyncio.sleep(max(0.0, due - self.clock.now()))
 
     def ping_all(self) -> None:
-        """Tell all at once what is new with us: who must step down should not wait its turn."""
+        """Send the status to the others at once, so that an old leader steps down soon."""
         for member in self.probe_order[: constants.ANNOUNCE_MAX]:
             if member not in self.pings:
                 self._spawn(self.pings, member, self._ping(member))
 
     def stop(self) -> None:
+        """Cancel all open pings and probes."""
         for task in (*self.pings.values(), *self.indirect_probes.values()):
             task.cancel()
 
     def _next_targets(self) -> list[str]:
         out = []
-        leader = self.current_leader()
-        if leader in self.views.by_member:
-            out.append(leader)
+        current_leader = self.current_leader()
+        if current_leader in self.views.by_member:
+            out.append(current_leader)
         for _ in range(min(len(self.probe_order), constants.PING_OTHERS)):
             self.probe_order.append(self.probe_order.pop(0))
             if self.probe_order[-1] not in out:
@@ -86,18 +87,18 @@
     async def _ping(self, member: str) -> None:
         try:
             found = await self._ask(member, "ping", self.own_status(), constants.PING_TIMEOUT_S)
-            word = msgspec.convert(found, MemberStatus)
+            status = msgspec.convert(found, MemberStatus)
         except NoAnswer as error:
-            log.debug("peer %s: %s", member, error)
+            log.debug("ping failed: peer %s: %s", member, error)
             self.views.record_no_answer(member)
             return
         except msgspec.ValidationError:
             self.views.drop_message("malformed")
             return
-        if word.member != member:
+        if status.member != member:
             self.views.drop_message("lying")
-        elif self.views.accept_status(word, answer=True):
-            self.on_status(word)
+        elif self.views.accept_status(status, answer=True):
+            self.on_status(status)
 
     async def _ask(self, member: str, what: str, arg: Any, timeout: float) -> Any:
         reply = await self.peers.ask(member, {"q": what, "arg": arg}, timeout)
@@ -106,33 +107,33 @@
         return reply.get("body")
 
     async def _probe_indirectly(self, member: str) -> None:
-        """Ask two others whether they reach somebody who does not answer us."""
+        """Ask some other controllers whether they reach a member that does not answer here."""
         helpers = [m for m, v in self.views.by_member.items() if m != member and v.state != SUSPECT]
         chosen = self.rng.sample(helpers, min(len(helpers), constants.PROBE_HELPERS))
         answers = await asyncio.gather(
             *(self._ask(helper, "reach", member, constants.PEER_TIMEOUT_S) for helper in chosen),
             return_exceptions=True,
         )
-        reached, word = False, None
+        reached, status = False, None
         for answer in answers:
             if isinstance(answer, BaseException):
                 continue
             try:
-                vouch = msgspec.convert(answer, ReachReply)
+                reply = msgspec.convert(answer, ReachReply)
             except msgspec.ValidationError:
                 self.views.drop_message("malformed")
                 continue
-            if vouch.reached:
-                reached, word = True, vouch.word
-        self.views.record_indirect_probe(member, word, reached)
+            if reply.reached:
+                reached, status = True, reply.word
+        self.views.record_indirect_probe(member, status, reached)
 
     async def answer_peer(self, what: str, arg: Any) -> dict[str, Any] | None:
-        """Answer a question of another controller; None for one that is not for us."""
+        """The answer to a request of another controller; None if it is not a membership request."""
         try:
             if what == "ping":
-                word = msgspec.convert(arg, MemberStatus)
-                if self.views.accept_status(word, answer=False):
-                    self.on_status(word)
+                status = msgspec.convert(arg, MemberStatus)
+                if self.views.accept_status(status, answer=False):
+                    self.on_status(status)
                 return {"status": 200, "body": msgspec.to_builtins(self.own_status())}
             if what == "reach":
                 return {"status": 200, "body": msgspec.to_builtins(await self._answer_reach(arg))}
@@ -142,7 +143,7 @@
         return None
 
     async def _answer_reach(self, member: Any) -> ReachReply:
-        """Whether we have an answer of somebody, just now."""
+        """Ping a member and report whether it answered in time."""
         if not isinstance(member, str) or member not in self.views.by_member:
             return ReachReply(False)
         view, began = self.views.by_member[member], self.clock.now()
--- a/src/chalkgrade/membership/registration.py
+++ b/src/chalkgrade/membership/registration.py
@@ -1,8 +1,8 @@
-"""A controller's own key in the state service: its lease, and the leases of the others.
+"""Registration of a controller: its own leased key in the state service, and those of others.
 
-The key's revision is the incarnation's first part. Who finds its key written by another
-process of its name stands aside for it: the later writer is the newer process, and that
-can't be wrong. It comes back once that one's lease has ended.
+The revision of the key is the first part of the incarnation. A process that finds its key
+written by another process of the same name is superseded and stops serving: the later writer is
+certainly the newer process. It registers again once the lease of the newer process has ended.
 """
 
 import asyncio
@@ -20,23 +20,26 @@
 log = logging.getLogger("chalkgrade.membership")
 
 MEMBERS_PREFIX = "cg/members/"
-FAILURES = (NoAnswer, NotExecuted, Rejected, Conflict, msgspec.DecodeError)
+REQUEST_ERRORS = (NoAnswer, NotExecuted, Rejected, Conflict, msgspec.DecodeError)
 
 
 class Registration:
-    """Joins, keeps the lease, and hears of the others' leases."""
+    """Keeps this controller registered, and watches the registrations of the others.
+
+    `permit` is the id of the lease that the own key is attached to.
+    """
 
     def __init__(
         self,
         ledger: LedgerClient,
         views: Views,
-        rng_s: Callable[[], float],
-        aside: Callable[[], None],
+        retry_delay_s: Callable[[], float],
+        on_superseded: Callable[[], None],
     ) -> None:
         self.ledger = ledger
         self.views = views
-        self.retry_delay_s = rng_s  # a pause, so that all do not come back at once; s
-        self.on_superseded = aside
+        self.retry_delay_s = retry_delay_s  # random, so that controllers do not retry all at once
+        self.on_superseded = on_superseded
         self.is_superseded = False
         self.key = MEMBERS_PREFIX + views.own_member
         self.permit = 0
@@ -47,16 +50,16 @@
         ]
 
     async def keep_registered(self) -> None:
-        """Be registered, and stay so."""
+        """Register this controller and renew its lease for ever."""
         while True:
             try:
                 if not self.is_registered:
                     await self._register()
                 elif not await self.ledger.renew_lease(self.permit, constants.STATE_TIMEOUT_S):
-                    self.is_registered = False  # our lease has ended, and our key with it
+                    self.is_registered = False  # the lease has ended, and the key with it
                     continue
-            except FAILURES as error:
-                log.debug("registration: %s", error)
+            except REQUEST_ERRORS as error:
+                log.debug("registration failed: %s", error)
                 await asyncio.sleep(self.retry_delay_s())
                 continue
             await asyncio.sleep(constants.MEMBER_TOUCH_S)
@@ -64,14 +67,15 @@
     async def _register(self) -> None:
         row = await self.ledger.get(self.key)
         if row is not None and self.is_superseded:
-            return  # the newer process still holds it
+            return  # the newer process still holds the key
         value = RegistrationValue(self.views.own_member, self.views.own_process)
         if (
             row is not None
             and row.permit
             and msgspec.json.decode(row.v, type=RegistrationValue) == value
         ):
-            # Only the answer was lost: registered once more, it would be lost again.
+            # The key was written and only the answer was lost. Writing it again could lose the
+            # answer again.
             permit, stamp = row.permit, row.stamp
         else:
             permit = await self.ledger.grant_lease(constants.MEMBER_TTL_S)
@@ -81,10 +85,10 @@
         self.views.stamp, self.views.refutation_count = stamp, 0
         if self.is_superseded:
             self.is_superseded = False
-            log.warning("the other process of our name is gone: we serve again")
+            log.warning("registration restored: the newer process of this name has ended")
 
     async def watch_members(self) -> None:
-        """Hear of all keys of controllers."""
+        """Watch the keys of all controllers for ever."""
         revision = 0
         while True:
             try:
@@ -92,10 +96,10 @@
                     rows, revision = await self.ledger.scan(MEMBERS_PREFIX)
                     for row in rows:
                         self._observe_key(row.k, row.v, row.stamp)
-                    there = {row.k.removeprefix(MEMBERS_PREFIX) for row in rows}
+                    present_members = {row.k.removeprefix(MEMBERS_PREFIX) for row in rows}
                     for member, view in self.views.by_member.items():
-                        if view.lease == "held" and member not in there:
-                            self.views.record_lease(member, "ended")  # while the watch was blind
+                        if view.lease == "held" and member not in present_members:
+                            self.views.record_lease(member, "ended")  # missed while not watching
                 found = await self.ledger.watch_changes(
                     MEMBERS_PREFIX, revision, constants.WATCH_BLOCK_S
                 )
@@ -107,8 +111,8 @@
                 revision = max(revision, found.ledgerRev)
             except Compacted:
                 revision = 0
-            except FAILURES as error:
-                log.debug("watch of members: %s", error)
+            except REQUEST_ERRORS as error:
+                log.debug("watch of member keys failed: %s", error)
                 await asyncio.sleep(self.retry_delay_s())
 
     def _observe_key(self, key: str, value: msgspec.Raw, stamp: int) -> None:
@@ -122,7 +126,7 @@
             if not self.is_superseded:
                 self.is_superseded = True
                 log.error(
-                    "another process is %s too, and newer: this one stands aside",
+                    "registration superseded: a newer process is registered as %s, stops serving",
                     self.views.own_member,
                 )
                 self.on_superseded()
--- a/src/chalkgrade/membership/views.py
+++ b/src/chalkgrade/membership/views.py
@@ -1,8 +1,8 @@
-"""A view of each other controller, from evidence by kind.
+"""The state of each other controller, derived from separate kinds of evidence.
 
-Suspicion before verdict: what silence can show is suspicion only, and only while this
-controller itself runs on time. Failed is who has lost a lease; nobody can be wrong
-about that.
+Silence can only make a controller suspected, and only while this controller itself runs on
+time. A controller counts as failed only when its lease has ended, which cannot be a false
+verdict.
 """
 
 import logging
@@ -18,68 +18,73 @@
 
 ALIVE, SUSPECT, FAILED, LEFT = "alive", "suspect", "failed", "left"
 STATES = (ALIVE, SUSPECT, FAILED, LEFT)
-NEVER = -1e9  # s; before any clock of ours began
+NEVER = -1e9  # s; earlier than any time on the clock of this process
 
 
 class MemberView(msgspec.Struct):
-    """What is known of one controller, each kind of evidence for itself; times are ours."""
+    """The evidence on one controller by kind; times are of this controller's clock, s."""
 
     state: str = ALIVE
-    answered_at: float = NEVER  # it answered a question of ours
-    spoke_at: float = NEVER  # a word of its own, not old by its time of day, reached us
-    vouched_at: float = NEVER  # another controller had an answer of it just then
-    unanswered_at: float = NEVER  # our first question without an answer since all these
-    unreached_at: float = NEVER  # others, asked after that, did not reach it either
-    returned_at: float = NEVER  # a worker came back from it
-    lease: str = ""  # of its own key: "", held, ended, left
+    answered_at: float = NEVER  # it answered a request of this controller
+    spoke_at: float = NEVER  # it sent a status that was not outdated by its wall time
+    vouched_at: float = NEVER  # another controller had just received an answer from it
+    unanswered_at: float = NEVER  # first request without an answer since all of these
+    unreached_at: float = NEVER  # other controllers, asked after that, did not reach it
+    returned_at: float = NEVER  # a worker returned to this controller from it
+    lease: str = ""  # lease of its own key: "", held, ended, left
     lease_at: float = NEVER
-    word: MemberStatus | None = None  # its last
+    word: MemberStatus | None = None  # its latest status
     process: str = ""
-    past: list[str] = []  # earlier processes of it, the last ones
+    past: list[str] = []  # ids of its most recent earlier processes
     incarnation: Incarnation = (0, 0)
     seq: int = 0
-    doubted_by: dict[str, Incarnation] = {}  # others that say that they suspect it
+    doubted_by: dict[str, Incarnation] = {}  # controllers that report that they suspect it
 
     @property
     def last_contact_at(self) -> float:
-        """When it last gave a sign of life, by whatever way."""
+        """When there was last evidence that it is alive, direct or through others."""
         return max(self.answered_at, self.spoke_at, self.vouched_at)
 
 
 class Views:
-    """What one controller knows of the others, and what they should know of it."""
+    """What one controller knows of the others, and its own incarnation."""
 
     def __init__(
         self,
-        me: str,
+        own_member: str,
         others: list[str],
         clock: Clock,
-        skew_s: float = 0.0,
+        max_clock_skew_s: float = 0.0,
         changed: Callable[[str, str, str], None] = lambda member, old, new: None,
     ) -> None:
-        self.own_member = me
+        self.own_member = own_member
         self.clock = clock
-        self.max_clock_skew_s = skew_s  # bound on the difference of two times of day
+        self.max_clock_skew_s = max_clock_skew_s  # bound on the difference of two wall clocks, s
         self.by_member = {member: MemberView() for member in others}
         self.changed = changed
-        self.own_process = ""  # of this start
-        self.stamp = 0  # revision of our own key
+        self.own_process = ""  # id of this process
+        self.stamp = 0  # revision of its own key in the state service
         self.refutation_count = 0
         self.last_seq = 0
-        self.evidence_valid_from = clock.now()  # silence before this proves nothing
-        self.loop_delays: list[tuple[float, float]] = []  # when and how late our loop ran
-        self.event_counts: dict[str, int] = {}  # of what happened, for /metrics
+        self.evidence_valid_from = clock.now()  # silence before this is no evidence, s
+        self.loop_delays: list[
+            tuple[float, float]
+        ] = []  # (time, delay) of recent late loop runs, s
+        self.event_counts: dict[str, int] = {}  # number of events by kind, for /metrics
         self.drops_logged_at = NEVER
-        self.unlogged_drops: dict[str, int] = {}  # messages since that line
+        self.unlogged_drops: dict[
+            str, int
+        ] = {}  # dropped messages by reason since the last log line
 
-    # -- ourselves --------------------------------------------------------------------
+    # -- this controller --------------------------------------------------------------
 
     @property
     def incarnation(self) -> Incarnation:
+        """Incarnation of this controller."""
         return (self.stamp, self.refutation_count)
 
     def record_loop_delay(self, late_s: float) -> None:
-        """Our loop runs, so late. Who stood still judges nobody by the time meanwhile."""
+        """Record a delay of the own loop; after a long one earlier silence is no evidence."""
         now = self.clock.now()
         if late_s > constants.LATE_S:
             self.evidence_valid_from = now
@@ -88,122 +93,130 @@
             self.loop_delays.append((now, late_s))
 
     def max_loop_delay_s(self) -> float:
-        """How late our loop ran of late, at worst; s.
+        """The longest recent delay of the own loop, s.
 
-        A standstill is none: it outlasts any lease, and says nothing of the next seconds.
+        A full stop of the process does not count: it outlasts any lease, and does not predict
+        delays in the next seconds.
         """
         short = (late for _, late in self.loop_delays if late < constants.LEASE_TTL_S)
         return max(short, default=0.0)
 
     # -- evidence ---------------------------------------------------------------------
 
-    def accept_status(self, word: MemberStatus, answer: bool) -> bool:
-        """A word came, as an answer to a question just asked or by itself.
+    def accept_status(self, status: MemberStatus, answer: bool) -> bool:
+        """Process a status, which is the answer to a recent request or came unasked.
 
-        False for what is dropped: of a stranger, of ourselves, of an older process or
-        incarnation, or said before what we have heard already.
+        Returns False if it is dropped: from an unknown controller or this one, from an older
+        process or incarnation, or sent before one that has been processed already.
         """
-        view = self.by_member.get(word.member)
+        view = self.by_member.get(status.member)
         if view is None:
             return self.drop_message("stranger")
         now = self.clock.now()
-        old = (
+        is_outdated = (
             not answer
-            and self.clock.wall() - word.at > constants.WORD_OLD_S + self.max_clock_skew_s
+            and self.clock.wall() - status.at > constants.WORD_OLD_S + self.max_clock_skew_s
         )
-        if word.process != view.process:
-            if view.process and not self._is_newer_process(view, word, answer):
+        if status.process != view.process:
+            if view.process and not self._is_newer_process(view, status, answer):
                 return self.drop_message("stale")
-            if old:  # before it changes anything: a held word brought an ended process back
+            if is_outdated:  # checked first: a delayed status must not revive an ended process
                 return self.drop_message("old")
             if view.process:
                 view.past = [*view.past[-constants.PAST_KEPT :], view.process]
-            view.process, view.seq = word.process, 0
-            view.incarnation = word.incarnation
+            view.process, view.seq = status.process, 0
+            view.incarnation = status.incarnation
             view.doubted_by.clear()
-        elif answer and word.seq <= view.seq:
-            # Two words of it crossed on their way: it lives, and we know better already.
+        elif answer and status.seq <= view.seq:
+            # Two messages overtook each other: it is alive, but this status is outdated.
             view.answered_at = now
-            self._update_state(word.member, now)
+            self._update_state(status.member, now)
             return False
-        elif word.incarnation < view.incarnation or word.seq <= view.seq:
-            if abs(self.clock.wall() - word.at) > constants.WORD_OLD_S + self.max_clock_skew_s:
+        elif status.incarnation < view.incarnation or status.seq <= view.seq:
+            if abs(self.clock.wall() - status.at) > constants.WORD_OLD_S + self.max_clock_skew_s:
                 return self.drop_message("stale")
             self._count("overtaken")
             return False
-        if old:
-            return self.drop_message("old")  # held in the network: its sender may be long gone
-        view.word, view.seq, view.incarnation = word, word.seq, word.incarnation
+        if is_outdated:  # delayed in the network: its sender may have ended since
+            return self.drop_message("old")
+        view.word, view.seq, view.incarnation = status, status.seq, status.incarnation
         if answer:
             view.answered_at = now
         else:
             view.spoke_at = now
         self._drop_outdated_suspicions(view)
-        for member, incarnation in word.suspects.items():
+        for member, incarnation in status.suspects.items():
             if member == self.own_member:
                 if incarnation >= self.incarnation:
                     self.refutation_count = max(self.refutation_count, incarnation[1]) + 1
                     self._count("refutes")
             elif member in self.by_member and incarnation >= self.by_member[member].incarnation:
-                self.by_member[member].doubted_by[word.member] = incarnation
+                self.by_member[member].doubted_by[status.member] = incarnation
         for member, other in self.by_member.items():
-            if member not in word.suspects:
-                other.doubted_by.pop(word.member, None)
-        self._update_state(word.member, now)
+            if member not in status.suspects:
+                other.doubted_by.pop(status.member, None)
+        self._update_state(status.member, now)
         return True
 
-    def _is_newer_process(self, view: MemberView, word: MemberStatus, answer: bool) -> bool:
-        """Whether a word is of a later start of a controller than the one that we know.
+    def _is_newer_process(self, view: MemberView, status: MemberStatus, answer: bool) -> bool:
+        """Whether a status comes from a newer process of a controller than the known one.
 
-        Its key says so, or that it answers just now; without a key (back within an outage)
-        its own words count once the one that we know is silent. One that was followed by
-        another is believed only then: its last words come after its successor's first.
+        A higher incarnation shows this, and so does a current answer from a process without a
+        key (one that was restarted within an outage of the state service). An unasked status of
+        such a process counts once the known process is silent. A process that was already
+        replaced is accepted only then, since its last messages may arrive after the first ones
+        of its successor.
         """
         silent = self.clock.now() - view.last_contact_at > constants.SUSPECT_S
-        if word.process in view.past:
+        if status.process in view.past:
             return silent
-        unregistered = word.incarnation[0] == 0 and (answer or silent)
-        return word.incarnation > view.incarnation or unregistered
+        unregistered = status.incarnation[0] == 0 and (answer or silent)
+        return status.incarnation > view.incarnation or unregistered
 
     def _drop_outdated_suspicions(self, view: MemberView) -> None:
-        """Suspicions of earlier incarnations are over."""
-        for doubter, incarnation in list(view.doubted_by.items()):
+        """Remove suspicions that concern earlier incarnations."""
+        for suspector, incarnation in list(view.doubted_by.items()):
             if incarnation < view.incarnation:
-                del view.doubted_by[doubter]
+                del view.doubted_by[suspector]
 
     def record_no_answer(self, member: str) -> None:
-        """Our question was not answered in time, or its link is refused or cut."""
+        """Record a request without an answer in time, or a connection that failed."""
         view, now = self.by_member[member], self.clock.now()
         if view.unanswered_at <= view.last_contact_at:
             view.unanswered_at = now
 
-    def record_indirect_probe(self, member: str, word: MemberStatus | None, reached: bool) -> None:
-        """Another controller was asked on our behalf."""
+    def record_indirect_probe(
+        self, member: str, status: MemberStatus | None, reached: bool
+    ) -> None:
+        """Record the result of a probe by another controller on behalf of this one."""
         view, now = self.by_member[member], self.clock.now()
         if reached:
             view.vouched_at = now
-            if word is not None and word.member == member:
-                self.accept_status(word, answer=False)
+            if status is not None and status.member == member:
+                self.accept_status(status, answer=False)
         else:
             view.unreached_at = now
         self._update_state(member, now)
 
     def record_worker_return(self, member: str) -> None:
-        """A worker came back from it: kept apart, since its link may be what is cut."""
+        """Record that a worker returned from it.
+
+        This is separate evidence, since only the link of that worker may be down.
+        """
         if member in self.by_member:
             self.by_member[member].returned_at = self.clock.now()
 
-    def record_lease(self, member: str, what: str) -> None:
-        """Its own key was seen in the state service: held, ended or left."""
+    def record_lease(self, member: str, lease_state: str) -> None:
+        """Record the state of its key in the state service: held, ended or left."""
         view = self.by_member.get(member)
         if view is not None:
-            view.lease, view.lease_at = what, self.clock.now()
+            view.lease, view.lease_at = lease_state, self.clock.now()
             self._update_state(member, view.lease_at)
 
-    # -- judging ----------------------------------------------------------------------
+    # -- state of each controller ------------------------------------------------------
 
     def update_states(self) -> None:
-        """Look at all of them; to be called whenever our loop runs."""
+        """Update the state of all controllers; to be called in each run of the own loop."""
         now = self.clock.now()
         for member in self.by_member:
             self._update_state(member, now)
@@ -221,15 +234,19 @@
 
     def _evaluate_state(self, view: MemberView, now: float) -> str:
         if now - view.last_contact_at <= constants.SUSPECT_S:
-            return ALIVE  # also if the state service has forgotten it
+            return ALIVE  # even if its lease has ended
         if view.lease in ("ended", "left") and view.lease_at > view.last_contact_at:
             return LEFT if view.lease == "left" else FAILED
         if view.state == SUSPECT:
-            return SUSPECT  # until it gives a sign
+            return SUSPECT  # until there is evidence that it is alive
         return SUSPECT if self._is_silence_evidence(view, now) else ALIVE
 
     def _is_silence_evidence(self, view: MemberView, now: float) -> bool:
-        """Whether its silence is evidence: asked for long enough while we ran on time."""
+        """Whether its silence is evidence that it has failed.
+
+        It is if the silence lasts long enough after a request, while this loop ran on time, and
+        no other controller has reached it either.
+        """
         asked = view.unanswered_at > max(view.last_contact_at, self.evidence_valid_from)
         if (
             not asked
@@ -242,7 +259,7 @@
         return not helpers or view.unreached_at >= view.unanswered_at
 
     def members_to_probe(self) -> list[str]:
-        """Whom others should be asked about: silent to us for a while."""
+        """Controllers that have not answered for a while and that others should probe."""
         now = self.clock.now()
         return [
             member
@@ -253,17 +270,18 @@
             and view.unreached_at < view.unanswered_at
         ]
 
-    # -- what others ask --------------------------------------------------------------
+    # -- queries --------------------------------------------------------------
 
     def last_contact_at(self, member: str) -> float:
-        """When a controller last gave a sign of life; long ago for a stranger."""
+        """When there was last evidence that a controller is alive; NEVER if it is unknown."""
         return self.by_member[member].last_contact_at if member in self.by_member else NEVER
 
     def state_of(self, member: str) -> str:
+        """State of a controller; FAILED if it is unknown."""
         return self.by_member[member].state if member in self.by_member else FAILED
 
     def is_reachable(self, member: str) -> bool:
-        """Whether it is worth sending somebody there."""
+        """Whether requests can be sent there with good prospect: alive on recent evidence."""
         view = self.by_member.get(member)
         fresh = (
             view is not None and self.clock.now() - view.last_contact_at < constants.PEER_FRESH_S
@@ -271,7 +289,7 @@
         return view is not None and fresh and view.state == ALIVE
 
     def recent_statuses(self) -> list[MemberStatus]:
-        """The last words of those that gave a sign lately."""
+        """The latest status of each controller with recent evidence that it is alive."""
         now = self.clock.now()
         return [
             view.word
@@ -280,23 +298,24 @@
         ]
 
     def suspected_members(self) -> dict[str, Incarnation]:
-        """Whom we suspect, for our word."""
+        """Suspected controllers with their incarnations, for the own status."""
         return {m: v.incarnation for m, v in self.by_member.items() if v.state == SUSPECT}
 
     def next_seq(self) -> int:
+        """The sequence number of the next own status."""
         self.last_seq += 1
         return self.last_seq
 
-    def _count(self, what: str) -> None:
-        self.event_counts[what] = self.event_counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.event_counts[event] = self.event_counts.get(event, 0) + 1
 
-    def drop_message(self, why: str) -> bool:
-        """A message is not taken in: counted, and told once a minute at most. Always False."""
-        self._count(f"dropped {why}")
-        self.unlogged_drops[why] = self.unlogged_drops.get(why, 0) + 1
+    def drop_message(self, reason: str) -> bool:
+        """Count a dropped message, and log the counts once a minute at most. Returns False."""
+        self._count(f"dropped {reason}")
+        self.unlogged_drops[reason] = self.unlogged_drops.get(reason, 0) + 1
         now = self.clock.now()
         if now - self.drops_logged_at >= constants.DROPPED_TELL_S:
             self.drops_logged_at = now
-            log.warning("messages of controllers dropped: %s", self.unlogged_drops)
+            log.warning("dropped messages of controllers: %s", self.unlogged_drops)
             self.unlogged_drops = {}
         return False
--- a/src/chalkgrade/state/__init__.py
+++ b/src/chalkgrade/state/__init__.py
@@ -1,5 +1,6 @@
-"""The state service, and who leads.
+"""Access to the state service, and leader election on top of it.
 
-Ask `ledger` for reads, conditioned commits and watches within this node's part of
-the limits; ask `leadership` whether this node surely holds the lead, and its token.
+`client` reads, commits under conditions and watches keys within this node's share of
+the service's limits. `leadership` tells whether this node certainly holds the leader
+lease, and its fencing token.
 """
--- a/src/chalkgrade/state/client.py
+++ b/src/chalkgrade/state/client.py
@@ -1,8 +1,8 @@
-"""The state-service client: budgets, commits, lists and watches.
+"""Client of the state service: request budgets, commits, listings and watches.
 
-Every answer is told apart by what it means: executed, refused, not executed,
-or unknown. An unknown commit may still be applied minutes later, so all
-commits carry conditions that a later state of the same keys no longer meets.
+Results are distinguished by what they mean for a request: executed, refused, not executed, or
+unknown. A commit with an unknown result may still be executed minutes later, so every
+commit carries conditions that a later state of the same keys no longer meets.
 """
 
 import asyncio
@@ -19,19 +19,25 @@
 
 
 class Row(msgspec.Struct):
+    """A key with its value; `stamp` is the revision of its last write."""
+
     k: str
     v: msgspec.Raw
     stamp: int
-    permit: int | None = None  # the lease it is attached to; only a read of one key tells
+    permit: int | None = None  # lease that it is attached to; only in reads of a single key
 
 
 class KeyPage(msgspec.Struct):
+    """One page of a listing of keys; `ledgerRev` is the revision at which it was read."""
+
     rows: list[Row]
     ledgerRev: int
     more: bool = False
 
 
 class KeyChange(msgspec.Struct):
+    """A key that was written (with its value) or removed, and the revision of the change."""
+
     stamp: int
     write: str | None = None
     remove: str | None = None
@@ -39,46 +45,58 @@
 
 
 class KeyChanges(msgspec.Struct):
+    """The answer to a watch: changes up to a revision, in order."""
+
     ledgerRev: int
     log: list[KeyChange] = []
 
 
 class RevisionReply(msgspec.Struct):
+    """An answer that has only a revision."""
+
     ledgerRev: int
 
 
 class ConflictReply(msgspec.Struct):
+    """The answer to a commit that was not executed: keys whose conditions did not hold."""
+
     failed: list[str] = []
     ledgerRev: int = 0
 
 
 class LeaseGrant(msgspec.Struct):
+    """The answer to a lease request: the id of the new lease."""
+
     permit: int
 
 
 class NotExecuted(Exception):
-    """The service said that it did nothing (503, 429)."""
+    """The service answered that it did not execute the request (status 503 or 429)."""
 
 
 class Conflict(Exception):
-    """A condition of a commit did not hold."""
+    """A condition of a commit did not hold; `failed` has the keys concerned."""
 
     def __init__(self, failed: list[str], maybe_applied: bool = False) -> None:
         super().__init__(f"conditions failed: {failed}")
         self.failed = failed
-        self.maybe_applied = maybe_applied  # another copy of the commit may have been applied
+        self.maybe_applied = maybe_applied  # another copy of the commit may have been executed
 
 
 class Rejected(Exception):
-    """A request that the service calls malformed, or a lease that is gone."""
+    """The service rejected a request as malformed, or its lease no longer exists."""
 
 
 class Compacted(Exception):
-    """A watch asked for changes that are no longer kept."""
+    """A watch asked for changes that the service no longer keeps."""
 
 
 class LedgerClient:
-    """One node's dealings with the state service."""
+    """One node's access to the state service, within its share of the request limits.
+
+    Methods raise NoAnswer if the result is unknown, NotExecuted if the service did not execute
+    the request, and the other errors of this module as documented.
+    """
 
     def __init__(
         self, http: Http, clock: Clock, addr: str, limits: StateLimits, nodes: int = 1
@@ -90,8 +108,8 @@
         self._other_nodes = max(0, nodes - 1)
         self.requests = Bucket(clock, 1.0, 1.0)
         self.writes = Bucket(clock, 1.0, 1.0)
-        # What users' questions may take of `requests`: a storm of them must leave the
-        # lease, commits and watches their part.
+        # The share of `requests` that reads for users may take: a burst of them must leave
+        # enough for lease renewals, commits and watches.
         self.queries = Bucket(clock, 1.0, 1.0)
         self.set_leading(False)
         for bucket in (self.requests, self.writes, self.queries):
@@ -100,19 +118,19 @@
         self.response_counts: dict[str, int] = {}
         self._commit_times_s: deque[float] = deque(
             maxlen=constants.LATENCIES
-        )  # s; commits, of late
+        )  # s; of recent commits
         self._response_times_s: deque[float] = deque(
             maxlen=constants.LATENCIES
-        )  # s; all but watches
-        self.highest_revision = 0  # the highest, and when it was
+        )  # s; of recent requests other than watches
+        self.highest_revision = 0  # highest revision seen, and when it was seen
         self.highest_revision_at = clock.now()
 
     def set_leading(self, leading: bool) -> None:
-        """Change this node's parts of the shared budgets.
+        """Set this node's share of the request limits, which depends on whether it leads.
 
-        All nodes' parts together are the limit: the leader's, and the rest in
-        equal parts for the others. What a new leader gains it has to wait for,
-        so that it does not spend what the last one has spent already.
+        The shares of all nodes add up to the limit: the leader has a fixed share, the
+        others divide the rest equally. A new leader gets its larger share gradually, so that
+        it does not spend again what the last leader has spent already.
         """
         for bucket, limit, part in (
             (self.requests, self.limits.rps, constants.LEADER_REQUEST_SHARE),
@@ -124,7 +142,7 @@
         self.queries.resize(self.requests.rate * constants.ASKING_SHARE)
 
     def has_recent_answer(self) -> bool:
-        """Whether the service answered lately."""
+        """Whether the service answered recently."""
         return self._clock.now() - self.answered_at < constants.STATE_STALE_S
 
     async def _call(
@@ -137,7 +155,7 @@
             status, data = await self._http.call(self._addr, method, path, payload, timeout)
         except NoAnswer:
             if not path.startswith("/changes") and self.answered_at > began:
-                self._response_times_s.append(timeout)  # it is slow, not out of reach
+                self._response_times_s.append(timeout)  # the service is slow, not out of reach
             self.response_counts["no answer"] = self.response_counts.get("no answer", 0) + 1
             raise
         self.response_counts[str(status)] = self.response_counts.get(str(status), 0) + 1
@@ -151,11 +169,11 @@
         return status, data
 
     def max_possible_revision(self) -> int:
-        """No revision can be above this now: tokens that are, were never given.
+        """An upper bound of the current revision: a higher token cannot be genuine.
 
-        Who has read nothing knows no bound: back at once within an outage of the state
-        service, a controller called every token one from the future and sent no worker to
-        the leader (found in the region, once there were more than 6,000 changes).
+        There is no bound before the first read. Otherwise a controller that restarts within an
+        outage of the state service would reject every genuine token once there are more
+        than 6,000 changes, and would not redirect workers to the leader.
         """
         if not self.highest_revision:
             return constants.TOKEN_MAX
@@ -168,20 +186,20 @@
         return revision
 
     def slow_response_s(self) -> float:
-        """What a slow answer takes of late: the second longest of the last ones; s."""
+        """Duration of a slow answer: the second longest of the most recent ones, s."""
         return sorted(self._response_times_s)[-2] if len(self._response_times_s) > 1 else 0.0
 
     async def _get_hedged(self, path: str) -> tuple[int, bytes]:
-        """A GET, asked a second time when the answer takes unusually long.
+        """Send a GET, and send it again if the answer takes unusually long.
 
-        A new leader reads its record before it does anything: one packet that is lost
-        costs it a whole time-out (found in the region: two seconds at a takeover).
+        A new leader reads its record before it does anything. Without the second request one
+        lost packet would delay the takeover by a whole time-out, which is two seconds.
         """
         first = asyncio.create_task(self._call("GET", path))
         copies = [first]
         try:
             done, _ = await asyncio.wait(copies, timeout=self.hedge_delay_s())
-            # A new leader has little at hand yet: a part of its rate would forbid it just then.
+            # A bound relative to the rate would forbid this to a new leader: its budget is low.
             if not done and self.requests.level() >= constants.HEDGE_READS:
                 self.response_counts["hedged"] = self.response_counts.get("hedged", 0) + 1
                 copies.append(asyncio.create_task(self._call("GET", path)))
@@ -197,15 +215,15 @@
         finally:
             for copy in copies:
                 if not copy.cancel() and not copy.cancelled():
-                    copy.exception()  # seen: it decides nothing any more
+                    copy.exception()  # retrieved, as the result no longer matters
 
     async def get(self, key: str) -> Row | None:
-        """One key, read fresh; None when it is absent."""
+        """Read one key; None if it does not exist."""
         status, data = await self._get_hedged(f"/kv/{key}")
         if status == 404:
             self._observe_revision(
                 decode(data, RevisionReply).ledgerRev
-            )  # a 404 of something else is no absence
+            )  # another 404 does not prove absence
             return None
         if status != 200:
             raise NoAnswer(f"status {status}")
@@ -214,14 +232,14 @@
         return row
 
     async def current_revision(self, under: str) -> int:
-        """The present revision, by a read of hardly anything."""
+        """The current revision, from a listing of one key at most under the prefix."""
         status, data = await self._call("GET", f"/kv?under={under}&page=1")
         if status != 200:
             raise NoAnswer(f"status {status}")
         return decode(data, KeyPage).ledgerRev
 
     async def scan(self, under: str) -> tuple[list[Row], int]:
-        """All keys with a prefix, and a revision from before the first was read."""
+        """All keys with a prefix, and a revision from before the first one was read."""
         rows: list[Row] = []
         after, revision = "", 0
         while True:
@@ -244,7 +262,11 @@
         apply: list[dict[str, Any]],
         timeout: float = constants.STATE_TIMEOUT_S,
     ) -> int:
-        """All of `apply` or nothing; the revision, or Conflict, Rejected, NotExecuted, NoAnswer."""
+        """Execute all of `apply` if all conditions hold, else nothing; returns the revision.
+
+        `conditions`: the expected revision of each key, 0 for a key that must not exist. Raises
+        Conflict, Rejected, NotExecuted, or NoAnswer if the commit may have been executed.
+        """
         if apply:
             await self.writes.wait(len(apply))
         body: dict[str, Any] = {"if": [{"k": k, "stamp": s} for k, s in conditions.items()]}
@@ -260,11 +282,11 @@
         raise Rejected(data[:200].decode(errors="replace"))
 
     async def commit_hedged(self, conditions: dict[str, int], apply: list[dict[str, Any]]) -> int:
-        """As `commit`, sent a second time when the answer takes unusually long.
+        """Like `commit`, but sent a second time if the answer takes unusually long.
 
-        Only for commits whose conditions no longer hold once one copy is applied.
-        The first answer that says so decides; a conflict met while the fate of the
-        other copy is open, or after it got lost, is marked `unsure`.
+        Only for commits whose conditions no longer hold once one copy has been executed.
+        The first success decides. A conflict of one copy while the result of the
+        other is open or unknown is marked `maybe_applied`.
         """
         copies = [asyncio.create_task(self.commit(conditions, apply))]
         try:
@@ -283,34 +305,34 @@
         finally:
             for copy in copies:
                 if not copy.cancel() and not copy.cancelled():
-                    copy.exception()  # seen: it decides nothing any more
+                    copy.exception()  # retrieved, as the result no longer matters
         conflicts = [f for f in failures if isinstance(f, Conflict)]
         if conflicts:
             raise Conflict(conflicts[0].failed, maybe_applied=len(copies) > 1)
-        # One without an answer may have been applied, whatever the other was told.
+        # A copy without an answer may have been executed, whatever the answer to the other one.
         lost = [f for f in failures if isinstance(f, NoAnswer)]
         refused = [f for f in failures if not isinstance(f, NotExecuted)]
         raise (lost or refused or failures)[0]
 
     async def commit_or_observe(
-        self, commit: Coroutine[Any, Any, int], look: Callable[[], Awaitable[int]]
+        self, commit: Coroutine[Any, Any, int], observe: Callable[[], Awaitable[int]]
     ) -> int:
-        """A commit's revision: from its answer, or from what it wrote if that is seen first.
+        """A commit's revision: from its answer, or from what it wrote if that is read first.
 
-        Only its answer may be lost. Until the time-out nobody may be told anything that the
-        commit could have changed, so what it writes is looked at meanwhile: found in the region
-        where answers were lost, each commit stood for two seconds, and what it held with it.
-        `look`: the revision at which it was surely applied, 0 if that is not seen.
+        Possibly only the answer was lost. Until the time-out nothing that the commit could have
+        changed may be told to anybody, so the keys that it writes are read meanwhile. Otherwise
+        each lost answer would block the commit, and all that waits for it, for two seconds.
+        `observe` returns the revision at which the commit was certainly executed, 0 if unknown.
         """
         sent = asyncio.create_task(commit)
-        looking: asyncio.Task[int] | None = None
+        observing: asyncio.Task[int] | None = None
         pause = constants.LOOK_TIMES * self.hedge_delay_s()
         try:
             while True:
-                waiting = {sent} if looking is None else {sent, looking}
+                waiting = {sent} if observing is None else {sent, observing}
                 await asyncio.wait(
                     waiting,
-                    timeout=pause if looking is None else None,
+                    timeout=pause if observing is None else None,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if sent.done():
@@ -318,27 +340,27 @@
                     if failure is not None:
                         raise failure
                     return sent.result()
-                if looking is None:
+                if observing is None:
                     if self.requests.level() >= constants.HEDGE_READS:
-                        looking = asyncio.create_task(self._observed_revision(look))
-                elif looking.done():
-                    if _failure(looking) is None and looking.result():
+                        observing = asyncio.create_task(self._observed_revision(observe))
+                elif observing.done():
+                    if _failure(observing) is None and observing.result():
                         self.response_counts["seen"] = self.response_counts.get("seen", 0) + 1
-                        return looking.result()
-                    looking, pause = None, 2 * pause
+                        return observing.result()
+                    observing, pause = None, 2 * pause
         finally:
-            for task in (sent, looking):
+            for task in (sent, observing):
                 if task is not None and not task.cancel() and not task.cancelled():
-                    task.exception()  # seen: it decides nothing any more
+                    task.exception()  # retrieved, as the result no longer matters
 
-    async def _observed_revision(self, look: Callable[[], Awaitable[int]]) -> int:
+    async def _observed_revision(self, observe: Callable[[], Awaitable[int]]) -> int:
         try:
-            return await look()
+            return await observe()
         except (NoAnswer, NotExecuted):
             return 0
 
     def hedge_delay_s(self) -> float:
-        """After how long a commit's answer counts as unusually late."""
+        """Time after which the answer to a commit counts as unusually late, s."""
         usual = (
             sorted(self._commit_times_s)[len(self._commit_times_s) // 2]
             if self._commit_times_s
@@ -347,16 +369,16 @@
         return max(constants.HEDGE_LEAST_S, constants.HEDGE_TIMES * usual)
 
     def _may_hedge(self, changes: int) -> bool:
-        """A second copy must not take what other changes need."""
+        """Whether the budgets allow a second copy without delaying other changes."""
         spare = constants.HEDGE_SPARE * self.writes.rate
         return self.writes.level() >= changes + spare and self.requests.level() >= 2
 
     async def existing_keys(self, keys: list[str]) -> set[str]:
-        """Which of a few keys are there, all seen at one revision if none is.
+        """Which of the given keys exist; if none does, all were checked at one revision.
 
-        A transaction that only compares; of more keys than one may have, several. Only
-        what it names is taken as there: the others are compared again, lest an answer that
-        names the first failure passes for the absence of the rest.
+        Sends a transaction that has only conditions, or several if there are more keys than one
+        may have. Only keys named in the answer count as existing. The others are checked
+        again, since an answer that names only the first failure does not prove them absent.
         """
         found: set[str] = set()
         for begin in range(0, len(keys), self.limits.max_conditions):
@@ -366,34 +388,37 @@
                     await self.commit(left, [])
                     break
                 except Conflict as conflict:
-                    there = left.keys() & set(conflict.failed)
-                    if not there:
-                        raise NoAnswer("a failed comparison that names no key") from None
-                    found |= there
-                    for key in there:
+                    existing = left.keys() & set(conflict.failed)
+                    if not existing:
+                        raise NoAnswer("conflict answer names none of the compared keys") from None
+                    found |= existing
+                    for key in existing:
                         del left[key]
         return found
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """A new lease."""
+        """Request a new lease; returns its id. Raises Rejected if the service refuses."""
         status, data = await self._call("POST", "/leases", {"ttlMs": int(ttl_s * 1000)})
         if status != 200:
             raise Rejected(f"lease: status {status}")
         return decode(data, LeaseGrant).permit
 
     async def renew_lease(self, permit: int, timeout: float) -> bool:
-        """Renew a lease; False when it is gone for good."""
+        """Renew a lease; returns False if it no longer exists."""
         status, _ = await self._call("POST", f"/leases/{permit}/touch", {}, timeout)
         if status not in (200, 404):
             raise NoAnswer(f"status {status}")
         return status == 200
 
     async def revoke_lease(self, permit: int) -> None:
-        """End a lease of ours at once; the keys attached to it go with it."""
+        """Revoke an own lease at once, which removes the keys that are attached to it."""
         await self._call("DELETE", f"/leases/{permit}")
 
     async def watch_changes(self, under: str, after: int, block_s: float) -> KeyChanges:
-        """What changed under a prefix; blocks until something did or the time is over."""
+        """Changes under a prefix after a revision; blocks up to `block_s` until there are any.
+
+        Raises Compacted if the service no longer keeps the changes after that revision.
+        """
         path = f"/changes?under={under}&after={after}&blockMs={int(block_s * 1000)}"
         status, data = await self._call("GET", path, timeout=block_s + constants.WATCH_SLACK_S)
         if status == 410:
@@ -406,9 +431,9 @@
 
 
 def _failure(copy: "asyncio.Task[Any]") -> BaseException | None:
-    """How a copy of a request failed; one that was cancelled from inside had no answer.
+    """The failure of a copy of a request, None if it succeeded; cancellation counts as no answer.
 
-    Nobody else cancels a copy that is waited for. Passed on, its cancellation would pass for
-    that of whoever waits, and end a loop without a word.
+    Only code inside the request can cancel a copy while it is awaited. If the cancellation were
+    passed on, it would look like a cancellation of the waiting task and end its loop silently.
     """
     return NoAnswer("given up") if copy.cancelled() else copy.exception()
--- a/src/chalkgrade/state/leader_context.py
+++ b/src/chalkgrade/state/leader_context.py
@@ -1,4 +1,4 @@
-"""What the subsystems of one leader share."""
+"""What the components of one leader term share."""
 
 from dataclasses import dataclass
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True)
 class LeaderContext:
-    """The lead under one token, and the means that come with it."""
+    """One leader term: its fencing token, and the services that its components use."""
 
     settings: Settings
-    token: int
-    leadership: Leadership
-    ledger: LedgerClient
+    token: int  # fencing token of the term: the revision of the leader key
+    leadership: Leadership  # the leader lease; tells whether the term is still in force
+    ledger: LedgerClient  # client of the state service
     clock: Clock
--- a/src/chalkgrade/state/limits.py
+++ b/src/chalkgrade/state/limits.py
@@ -1,8 +1,9 @@
-"""The state service's limits: those of now, and those that it may have from some moment on.
+"""The limits of the state service: the current ones, and announced ones that may follow.
 
-Sizes and rates are the lesser of both from the start, so that whatever is written new fits
-either way and nobody need notice the moment. Only what is there already and is larger goes by
-what holds now: it is rewritten whole until the service refuses that, and never again after.
+New values and request rates always keep to the smaller of both, so that they fit before and
+after the change and its moment need not be detected. Only stored values that are larger
+already follow the current limits: they are rewritten as a whole until the service rejects
+such a commit, and never again afterwards.
 """
 
 from chalkgrade import constants
@@ -10,54 +11,57 @@
 
 
 class EffectiveLimits:
-    """What may be written, asked and changed. Sizes in bytes, rates a second."""
+    """The limits that requests have to keep to. Sizes are in bytes, rates per second."""
 
-    def __init__(self, present: StateLimits) -> None:
-        self.current = present
-        self.minimum = present.least()
-        self.have_shrunk = False  # a commit was refused that only the present limits allow
+    def __init__(self, current: StateLimits) -> None:
+        self.current = current
+        self.minimum = current.least()
+        self.have_shrunk = False  # a commit that only the current limits allow was rejected
 
     @property
     def max_value_bytes(self) -> int:
-        """The most that a value made now may take."""
+        """Maximum size of a newly written value."""
         return usable_value_bytes(self.minimum.value_kb)
 
     @property
     def max_rewrite_bytes(self) -> int:
-        """The most that a value may take that stands for one which is there already."""
+        """Maximum size of a value that replaces a stored one."""
         return (
             self.max_value_bytes if self.have_shrunk else usable_value_bytes(self.current.value_kb)
         )
 
     @property
     def txn_ops(self) -> int:
+        """Maximum number of writes and removals in one transaction."""
         return self.minimum.txn_ops
 
     @property
     def rps(self) -> float:
+        """Maximum number of requests per second, over all nodes."""
         return self.minimum.rps
 
     @property
     def write_rps(self) -> float:
+        """Maximum number of written or removed keys per second, over all nodes."""
         return self.minimum.write_rps
 
     @property
     def max_conditions(self) -> int:
-        """How many conditions a transaction may have."""
+        """Maximum number of conditions in one transaction."""
         return 4 * self.txn_ops
 
-    def note_rejected_commit(self, largest_b: int) -> bool:
-        """The service called a commit malformed whose largest value is so long.
+    def note_rejected_commit(self, largest_value_bytes: int) -> bool:
+        """Record that the service rejected a commit whose largest value has this size.
 
-        True if that shows that the limits have fallen, or had when it was sent: the same commit
-        would be refused for ever, and is to be made anew within the lesser ones.
+        Returns True if the size explains the rejection: the smaller limits are in force, the
+        same commit would be rejected each time, and it has to be rebuilt within them.
         """
-        if largest_b <= self.max_value_bytes:
+        if largest_value_bytes <= self.max_value_bytes:
             return False
         self.have_shrunk = True
         return True
 
 
 def usable_value_bytes(value_kb: float) -> int:
-    """What of a value's size is used: some is left for other ways of writing the same JSON."""
+    """The usable part of a value limit: the rest allows for other encodings of the same JSON."""
     return int(value_kb * 1024 - min(constants.VALUE_SPARE_B, value_kb * 1024 / 8))
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -370,9 +370,9 @@
     with caplog.at_level("WARNING"):
         tell(story, 3, loss=0.0)
     assert 3.9 < seen[0] - seen[1] < 4.1 and seen[2] == 0.0
-    said = [r for r in caplog.records if "the lease is not proved any more" in r.getMessage()]
+    said = [r for r in caplog.records if "lease no longer proved valid" in r.getMessage()]
     assert said and said[0].token > 0 and said[0].left_s > 10.0  # type: ignore[attr-defined]
-    assert any("workers are let go" in r.getMessage() for r in caplog.records)
+    assert any("worker leases no longer renewed" in r.getMessage() for r in caplog.records)
 
 
 # -- who was told of which cancellations --------------------------------------------------------
