--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -18,98 +18,98 @@
 from chalkgrade.serving.testimony import Told
 from chalkgrade.state.leadership import Leadership
 from chalkgrade.state.lease_expiry import LeaseExpiry
-from gap_model import Rules, State, walk
+from gap_model import Rules, State, explore
 from test_membership import _acting_leader, _wait_until
 
 
-class WrongInstant(Rules):
+class CountsFromAnswer(Rules):
     """Counts from when a renewal was answered."""
 
-    def proved(self, known: float, age: int) -> float:
+    def after_renewal(self, known: float, age: int) -> float:
         return super().proved(known, 0)
 
 
-class BeginsAnew(Rules):
+class RestartsGraceOnRefusal(Rules):
     """Each refused renewal starts the shelter once more."""
 
-    def refused(self, known: float) -> float:
+    def after_refusal(self, known: float) -> float:
         return max(known, 0.0)
 
 
-class BeforeDurable(Rules):
+class ConfirmsBeforeDurable(Rules):
     """The old leader confirms what it has only sent."""
 
-    def confirms(self, state: State) -> bool:
-        return state.sent
+    def tells_user(self, state: State) -> bool:
+        return state.commit_sent
 
 
-class OnlyAnswered(Rules):
+class KnownOnlyWhenAnswered(Rules):
     """An own cancellation counts from when its commit was answered."""
 
-    def asked(self) -> bool:
+    def known_when_requested(self) -> bool:
         return False
 
 
-class GoesOn(Rules):
+class IgnoresHigherToken(Rules):
     """An old leader answers who has seen a higher token, under that token."""
 
-    def heard(self, state: State) -> State:
+    def on_higher_token(self, state: State) -> State:
         assert state.report is not None
         return state._replace(report=(1, state.report[1], "keep"))
 
-    def takes(self, state: State, whose: int) -> bool:
+    def worker_accepts(self, state: State, whose: int) -> bool:
         return True
 
 
-class InTurn(Rules):
+class RenewsRecentlyAnswered(Rules):
     """Whoever was answered a moment ago is kept on, so that both keep a worker in turn."""
 
-    def keeps(self, known: float | None, answered: int) -> bool:
+    def renews_worker(self, known: float | None, answered: int) -> bool:
         return known is not None and (answered < 2 or super().keeps(known, answered))
 
 
-class NoMargin(Rules):
+class GraceWithoutMargin(Rules):
     """The shelter lasts as long as `cancel_s` and the lease seem to allow."""
 
-    spare = gap_model.SPARE + 1
+    grace = gap_model.WORKER_GRACE + 1
 
 
-class VouchedFromTheAnswer(Rules):
+class ListsCountFromAnswer(Rules):
     """What others list counts from when their lists came, not from when they were asked."""
 
-    def vouched(self, known: float, age: int) -> float:
+    def after_peer_lists(self, known: float, age: int) -> float:
         return super().vouched(known, 0)
 
 
-class NotAllListed(Rules):
+class IncompleteLists(Rules):
     """One that has told a user is not asked, or was just back and knows nothing of it."""
 
-    def listed(self, state: State) -> bool:
+    def is_listed(self, state: State) -> bool:
         return False
 
 
 BUGS = [
-    VouchedFromTheAnswer,
-    NotAllListed,
-    WrongInstant,
-    BeginsAnew,
-    BeforeDurable,
-    OnlyAnswered,
-    GoesOn,
-    InTurn,
-    NoMargin,
+    ListsCountFromAnswer,
+    IncompleteLists,
+    CountsFromAnswer,
+    RestartsGraceOnRefusal,
+    ConfirmsBeforeDurable,
+    KnownOnlyWhenAnswered,
+    IgnoresHigherToken,
+    RenewsRecentlyAnswered,
+    GraceWithoutMargin,
 ]
 
 
 def test_no_run_of_the_model_keeps_a_cancelled_task_for_too_long() -> None:
-    seen, broken = walk(Rules())
+    seen, broken = explore(Rules())
     assert broken is None
     assert seen > 100_000  # all of them: the walk ends by itself
 
 
 @pytest.mark.parametrize("bug", BUGS)
 def test_bugs_of_the_gap_are_found_by_the_model(bug: type[Rules]) -> None:
-    _, broken = walk(bug())
+    _, broken = explore(bug())
     assert broken is not None
 
 
@@ -203,11 +203,11 @@
     return node is not None and node.leadership.may_act()
 
 
-class Five(World):
+class FiveControllers(World):
     MEMBERS = ("n-0", "n-1", "n-2", "n-3", "n-4")
 
 
-@pytest.mark.parametrize("kind", [World, Five])
+@pytest.mark.parametrize("kind", [World, FiveControllers])
 @pytest.mark.parametrize("save", [0.0, 4.0])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_old_leader_lets_its_workers_go_in_time(
@@ -223,7 +223,7 @@
     assert World.LEASE_S < took[0] < World.CANCEL_S - constants.LIMBO_MARGIN_S + 0.5
 
 
-async def _paths(world: World, path: str, old: str, new: str) -> None:
+async def _cut_report_paths(world: World, path: str, old: str, new: str) -> None:
     """Which controllers machines reach from the moment on in which two lead by their own word."""
     workers, others = sorted(world.workers), set(world.members) - {old}
     if path == "relay":  # neither leader: a third controller carries their reports
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("path", ["relay", "split", "to and fro"])
-@pytest.mark.parametrize("kind", [World, Five])
+@pytest.mark.parametrize("kind", [World, FiveControllers])
 def test_whatever_way_reports_take_in_the_gap(kind: type[World], path: str) -> None:
     async def story(world: World) -> None:
         names = [_long_job(number)["nameId"] for number in range(1, 5)]
@@ -254,7 +254,7 @@
         world.store.refused[old] = world.now + 300.0
         await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
         new = next(member for member in others if _is_acting(world, member))
-        world.spawn(_paths(world, path, old, new))
+        world.spawn(_cut_report_paths(world, path, old, new))
         for name in names[:3]:
             await _abort_until_told(world, new, name)
         world.store.outage(world.CANCEL_S + 30.0)
@@ -267,7 +267,7 @@
         tell(story, seed, loss=0.0, kind=kind)
 
 
-def _each_refusal(patch: pytest.MonkeyPatch) -> None:
+def _extend_on_each_renewal(patch: pytest.MonkeyPatch) -> None:
     plain = Leadership._renew
 
     async def touch(self: Leadership) -> None:
@@ -278,7 +278,7 @@
     patch.setattr(Leadership, "_renew", touch)
 
 
-def _twice_as_long(patch: pytest.MonkeyPatch) -> None:
+def _double_grace(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         LeaseExpiry,
         "worker_grace_left_s",
@@ -286,13 +286,13 @@
     )
 
 
-def _unfinished_load(patch: pytest.MonkeyPatch) -> None:
+def _never_step_down(patch: pytest.MonkeyPatch) -> None:
     """Workers are kept by whoever holds a token, for as long as nobody says otherwise."""
     patch.setattr(Leadership, "may_renew_workers", lambda self: self.token > 0)
     patch.setattr(Leadership, "step_down", lambda self: None)
 
 
-@pytest.mark.parametrize("bug", [_each_refusal, _twice_as_long, _unfinished_load])
+@pytest.mark.parametrize("bug", [_extend_on_each_renewal, _double_grace, _never_step_down])
 def test_bugs_of_the_gap_break_the_rule_in_the_region(
     bug: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -307,7 +307,7 @@
         tell(story, 1, loss=0.0)
 
 
-def _killed_when_durable(patch: pytest.MonkeyPatch) -> None:
+def _kill_only_when_durable(patch: pytest.MonkeyPatch) -> None:
     plain = Book.abort
 
     def abort(self: Book, job: Job) -> None:
@@ -324,7 +324,7 @@
 ) -> None:
     """The leader's own commit of a cancellation is executed, but every answer to it is lost."""
     if bug:
-        _killed_when_durable(monkeypatch)
+        _kill_only_when_durable(monkeypatch)
     took: list[float] = []
 
     async def story(world: World) -> None:
@@ -405,15 +405,15 @@
     assert bool(ends[0]) == (case != "all there")
 
 
-def _nothing_listed(patch: pytest.MonkeyPatch) -> None:
+def _empty_lists(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Told, "since", lambda self, ago_s: [])
 
 
-def _not_believed(patch: pytest.MonkeyPatch) -> None:
+def _lists_ignored(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Term, "believe", lambda self, told: None)
 
 
-@pytest.mark.parametrize("bug", [None, _nothing_listed, _not_believed])
+@pytest.mark.parametrize("bug", [None, _empty_lists, _lists_ignored])
 def test_what_others_list_is_stopped(bug: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     """The gap once more, but the old leader reaches the others and does not heed their token."""
     if bug is not None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -49,14 +49,16 @@
         self.clock = HandClock()
         self.stamp = 0
         self.up = dict.fromkeys(NAMES, True)
-        self.still = dict.fromkeys(NAMES, False)
+        self.suspended = dict.fromkeys(NAMES, False)
         self.leased = dict.fromkeys(NAMES, True)
         self.views: dict[str, Views] = {}
-        self.spoke: dict[tuple[str, str], float] = {}  # (to, from) -> last word in time
-        self.asked: dict[tuple[str, str], float] = {}  # last unanswered question since a sign
-        self.latest: dict[tuple[str, str], str] = {}  # process that last answered
+        self.last_status_at: dict[tuple[str, str], float] = {}  # (to, from) -> last word in time
+        self.unanswered_since: dict[
+            tuple[str, str], float
+        ] = {}  # last unanswered question since a sign
+        self.last_process: dict[tuple[str, str], str] = {}  # process that last answered
         self.last_words: dict[str, MemberStatus] = {}
-        self.held: list[tuple[str, MemberStatus, float]] = []  # to, what, when it was said
+        self.delayed: list[tuple[str, MemberStatus, float]] = []  # to, what, when it was said
         for name in NAMES:
             self._start(name)
 
@@ -66,7 +68,7 @@
         made = self.views[name] = Views(name, others, self.clock)
         made.own_process, made.stamp = f"p{self.stamp}", self.stamp
 
-    def _word(self, name: str) -> MemberStatus:
+    def status_of(self, name: str) -> MemberStatus:
         own = self.views[name]
         word = MemberStatus(
             name, own.own_process, own.incarnation, own.next_seq(), self.clock.wall()
@@ -74,42 +76,42 @@
         word.suspects = own.suspected_members()
         return word
 
-    def _runs(self, name: str) -> bool:
-        return self.up[name] and not self.still[name]
+    def is_running(self, name: str) -> bool:
+        return self.up[name] and not self.suspended[name]
 
     @rule(seconds=st.floats(0.05, 0.5))
     def time_passes(self, seconds: float) -> None:
         self.clock.at += seconds
         for name in NAMES:
-            if self._runs(name):
+            if self.is_running(name):
                 self.views[name].record_loop_delay(0.0)
                 self.views[name].update_states()
 
     @rule(one=MEMBER, other=MEMBER, fate=st.sampled_from(["fine", "fine", "lost", "held"]))
     def ask(self, one: str, other: str, fate: str) -> None:
-        if one == other or not self._runs(one):
+        if one == other or not self.is_running(one):
             return
-        if fate == "fine" and self._runs(other):
-            self.views[other].accept_status(self._word(one), answer=False)
-            self.views[one].accept_status(self._word(other), answer=True)
+        if fate == "fine" and self.is_running(other):
+            self.views[other].accept_status(self.status_of(one), answer=False)
+            self.views[one].accept_status(self.status_of(other), answer=True)
             for to, name in ((one, other), (other, one)):
-                self.spoke[to, name] = self.clock.at
-                self.asked.pop((to, name), None)
-                self.latest[to, name] = self.views[name].own_process
+                self.last_status_at[to, name] = self.clock.at
+                self.unanswered_since.pop((to, name), None)
+                self.last_process[to, name] = self.views[name].own_process
         else:
             if fate == "held":
-                self.held.append((other, self._word(one), self.clock.at))
+                self.delayed.append((other, self.status_of(one), self.clock.at))
             self.views[one].record_no_answer(other)
-            self.asked[one, other] = self.clock.at
+            self.unanswered_since[one, other] = self.clock.at
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.delayed)
     @rule(again=st.booleans())
-    def a_held_word_comes(self, again: bool) -> None:
-        to, word, at = self.held[0] if again else self.held.pop(0)
-        if self._runs(to):
+    def a_delayed_status_arrives(self, again: bool) -> None:
+        to, word, at = self.delayed[0] if again else self.delayed.pop(0)
+        if self.is_running(to):
             taken = self.views[to].accept_status(word, answer=False)
             if taken and self.clock.at - at <= constants.WORD_OLD_S:
-                self.spoke[to, word.member] = self.clock.at
+                self.last_status_at[to, word.member] = self.clock.at
 
     @rule(one=MEMBER, other=MEMBER, steps=st.integers(1, 6), wakes=st.booleans())
     def a_link_is_cut(self, one: str, other: str, steps: int, wakes: bool) -> None:
@@ -120,21 +122,21 @@
         if wakes:
             self.ask(one, other, "fine")
         for _ in range(steps):
-            if not self._runs(one):
+            if not self.is_running(one):
                 return
             self.ask(one, other, "lost")
             self.time_passes(0.35)
-            if other in self.views[one].members_to_probe() and self._runs(third):
-                reached = self._runs(other) and not wakes
+            if other in self.views[one].members_to_probe() and self.is_running(third):
+                reached = self.is_running(other) and not wakes
                 self.views[one].record_indirect_probe(other, None, reached)
                 if reached:
-                    self.spoke[one, other] = self.clock.at
+                    self.last_status_at[one, other] = self.clock.at
         if wakes:
-            self.stand_still(one, 3.0)
+            self.suspend(one, 3.0)
 
     @rule(to=MEMBER, name=MEMBER)
-    def a_word_of_an_earlier_process_comes(self, to: str, name: str) -> None:
-        if to == name or not self._runs(to) or self.still[name]:
+    def a_status_of_an_earlier_process_arrives(self, to: str, name: str) -> None:
+        if to == name or not self.is_running(to) or self.suspended[name]:
             return
         if self.up[name]:
             self.crash_or_return(name)
@@ -146,25 +148,25 @@
     def crash_or_return(self, name: str) -> None:
         self.up[name] = not self.up[name]
         if not self.up[name]:
-            self.last_words[name] = self._word(name)
+            self.last_words[name] = self.status_of(name)
         if self.up[name]:
             self._start(name)
             self.leased[name] = True
             for other in NAMES:
-                for of in (self.spoke, self.asked, self.latest):
+                for of in (self.last_status_at, self.unanswered_since, self.last_process):
                     of.pop((name, other), None)  # type: ignore[attr-defined]
 
     @rule(name=MEMBER, seconds=st.floats(0.5, 9.0))
-    def stand_still(self, name: str, seconds: float) -> None:
+    def suspend(self, name: str, seconds: float) -> None:
         """Its clocks go on; what it heard before is old when it wakes."""
-        if not self._runs(name):
+        if not self.is_running(name):
             return
-        self.still[name] = True
+        self.suspended[name] = True
         before = {other: self.views[name].state_of(other) for other in self.views[name].by_member}
         steps = int(seconds / 0.4) + 1
         for _ in range(steps):
             self.time_passes(seconds / steps)
-        self.still[name] = False
+        self.suspended[name] = False
         self.views[name].record_loop_delay(seconds)
         self.views[name].update_states()
         if seconds > constants.LATE_S:  # it has no fresh evidence yet
@@ -176,13 +178,13 @@
         if not self.up[name]:
             self.leased[name] = False
             for other in NAMES:
-                if other != name and self._runs(other):
+                if other != name and self.is_running(other):
                     self.views[other].record_lease(name, "ended")
 
     @invariant()
     def who_speaks_is_not_suspected(self) -> None:
-        for (to, name), at in self.spoke.items():
-            if self._runs(to) and self.clock.at - at <= constants.SUSPECT_S:
+        for (to, name), at in self.last_status_at.items():
+            if self.is_running(to) and self.clock.at - at <= constants.SUSPECT_S:
                 assert self.views[to].state_of(name) == ALIVE, (to, name)
 
     @invariant()
@@ -200,13 +202,13 @@
         """A question, asked since it last spoke, that was not answered."""
         for to in NAMES:
             for name, view in self.views[to].by_member.items():
-                if self._runs(to) and view.state == SUSPECT:
-                    assert (to, name) in self.asked, (to, name)
+                if self.is_running(to) and view.state == SUSPECT:
+                    assert (to, name) in self.unanswered_since, (to, name)
 
     @invariant()
     def an_older_process_changes_nothing(self) -> None:
-        for (to, name), process in self.latest.items():
-            if self._runs(to):
+        for (to, name), process in self.last_process.items():
+            if self.is_running(to):
                 assert self.views[to].by_member[name].process == process
 
 
@@ -474,19 +476,19 @@
 # -- bugs put in on purpose ---------------------------------------------------------------
 
 
-def _silence_is_enough(patch: pytest.MonkeyPatch) -> None:
+def _any_silence_is_evidence(patch: pytest.MonkeyPatch) -> None:
     """Old silence counts, asked or not."""
     patch.setattr(Views, "_is_silence_evidence", lambda self, view, now: True)
 
 
-def _waking_is_no_reason_to_wait(patch: pytest.MonkeyPatch) -> None:
+def _loop_delays_ignored(patch: pytest.MonkeyPatch) -> None:
     def ran(self: Views, late_s: float) -> None:
         pass
 
     patch.setattr(Views, "record_loop_delay", ran)
 
 
-def _silence_is_a_verdict(patch: pytest.MonkeyPatch) -> None:
+def _silence_means_failed(patch: pytest.MonkeyPatch) -> None:
     plain = Views._evaluate_state
 
     def state(self: Views, view: Any, now: float) -> str:
@@ -496,7 +498,7 @@
     patch.setattr(Views, "_evaluate_state", state)
 
 
-def _any_process_is_believed(patch: pytest.MonkeyPatch) -> None:
+def _any_process_accepted(patch: pytest.MonkeyPatch) -> None:
     plain = Views.accept_status
 
     def take(self: Views, word: MemberStatus, answer: bool) -> bool:
@@ -509,8 +511,8 @@
     patch.setattr(constants, "WORD_OLD_S", 1e9)
 
 
-VIEW_BUGS = [_silence_is_enough, _waking_is_no_reason_to_wait, _silence_is_a_verdict]
-VIEW_BUGS += [_any_process_is_believed]
+VIEW_BUGS = [_any_silence_is_evidence, _loop_delays_ignored, _silence_means_failed]
+VIEW_BUGS += [_any_process_accepted]
 
 
 @pytest.mark.parametrize("bug", VIEW_BUGS)
@@ -521,7 +523,7 @@
             _run_machine()
 
 
-def _acts_until_the_answer(patch: pytest.MonkeyPatch) -> None:
+def _acts_until_commit_answered(patch: pytest.MonkeyPatch) -> None:
     """The old leader goes on until its commit is answered."""
     plain = Leadership.hand_over
 
@@ -537,7 +539,7 @@
     patch.setattr(Leadership, "hand_over", hand_over)
 
 
-def _lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+def _lease_counts_from_answer(patch: pytest.MonkeyPatch) -> None:
     """A lease is counted from when it was heard of, and without a margin."""
 
     def proved(self: LeaseExpiry, sent_at: float, ttl_s: float) -> None:
@@ -546,7 +548,7 @@
     patch.setattr(LeaseExpiry, "record_renewal", proved)
 
 
-def _resumes_when_unsure(patch: pytest.MonkeyPatch) -> None:
+def _resumes_after_lost_answer(patch: pytest.MonkeyPatch) -> None:
     """A lost answer is taken for a commit that was not applied."""
     plain = Leadership.hand_over
 
@@ -560,7 +562,7 @@
     patch.setattr(Leadership, "hand_over", hand_over)
 
 
-KEY_BUGS = [_acts_until_the_answer, _lease_from_the_answer, _resumes_when_unsure]
+KEY_BUGS = [_acts_until_commit_answered, _lease_counts_from_answer, _resumes_after_lost_answer]
 
 
 @pytest.mark.parametrize("bug", KEY_BUGS)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -124,7 +124,7 @@
         tell(story, seed, loss=0.0)
 
 
-async def _beside(world: World) -> None:
+async def _start_second_process(world: World) -> None:
     """Two processes of one name on two machines: the older one leads, and stands still."""
     old = _acting_leader(world)
     assert old is not None
@@ -143,10 +143,10 @@
 
 def test_a_process_elsewhere_with_the_leaders_name_waits_for_its_lease() -> None:
     for seed in range(4):
-        tell(_beside, seed, loss=0.0)
+        tell(_start_second_process, seed, loss=0.0)
 
 
-def _any_home_is_mine(patch: pytest.MonkeyPatch) -> None:
+def _ignore_home(patch: pytest.MonkeyPatch) -> None:
     """Whoever has the name ends the lease, wherever the other process runs."""
     plain = Leadership._is_own_stale_key
 
@@ -158,10 +158,10 @@
 
 def test_ending_the_lease_of_a_process_elsewhere_is_found() -> None:
     with pytest.MonkeyPatch.context() as patch:
-        _any_home_is_mine(patch)
+        _ignore_home(patch)
         with pytest.raises(MultipleLeaders):
             for seed in range(4):
-                tell(_beside, seed, loss=0.0)
+                tell(_start_second_process, seed, loss=0.0)
 
 
 def test_who_laid_the_lead_down_ends_what_is_left_of_it() -> None:
@@ -295,7 +295,7 @@
     assert fleet.absent(machine, earlier)
 
 
-class _Held:
+class _HoldingHttp:
     """A process's way out on which writes are held; they come when its successor leads."""
 
     def __init__(self, plain: Any) -> None:
@@ -316,7 +316,7 @@
         leader = _acting_leader(world)
         assert leader is not None and leader.term is not None
         member, token = leader.settings.member, leader.leadership.token
-        held = _Held(leader.http)
+        held = _HoldingHttp(leader.http)
         leader.ledger._http = leader.cloud._http = held  # type: ignore[assignment]
         spec = _any_machine_job(world, 1)
         raw = msgspec.json.encode(spec)
@@ -355,7 +355,7 @@
 # -- loops of crashes -----------------------------------------------------------------------
 
 
-def _loop_day(seed: int, machines: int = 90, seconds: float = 120.0) -> Any:
+def _crash_loop_day(seed: int, machines: int = 90, seconds: float = 120.0) -> Any:
     """For a minute each process of all five controllers lives for 1 to 5 s."""
     day = failover.day(seed, machines=machines, seconds=seconds)
     day.faults = [Fault(10.0, "flap", BACK_S, who="all", times=20, every=3.0)]
@@ -364,7 +364,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_loop_of_crashes_breaks_nothing_and_is_over_at_once(seed: int) -> None:
-    day = _loop_day(seed)
+    day = _crash_loop_day(seed)
     day.faults.append(Fault(30.0, "stop", count=9))
     world, broken = play_day(day, seed)
     told = figures(world, broken)
@@ -419,12 +419,12 @@
     tell(story, 6, loss=0.0)
 
 
-def _no_revision_is_bounded_low(patch: pytest.MonkeyPatch) -> None:
+def _low_bound_before_first_read(patch: pytest.MonkeyPatch) -> None:
     """As it was: a process that has read nothing believes no token above 6,000."""
     patch.setattr(LedgerClient, "max_possible_revision", lambda self: self.highest_revision + 6000)
 
 
-def _held_words_count(patch: pytest.MonkeyPatch) -> None:
+def _delayed_statuses_accepted(patch: pytest.MonkeyPatch) -> None:
     """As it was: the process of a word is taken over before the word's age is looked at."""
     patch.setattr(
         Views,
@@ -436,9 +436,9 @@
 @pytest.mark.parametrize(
     ("bug", "found_by"),
     [
-        (_no_revision_is_bounded_low,
+        (_low_bound_before_first_read,
          test_a_follower_back_within_an_outage_sends_workers_to_the_leader),
-        (_held_words_count, test_words_of_an_ended_process_bring_it_back_nowhere),
+        (_delayed_statuses_accepted, test_words_of_an_ended_process_bring_it_back_nowhere),
     ],
 )  # fmt: skip
 def test_bugs_of_quick_restarts_are_found(
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,7 +1,7 @@
-"""A leader whose writing stands still, for whatever reason, does not lead on.
+"""A leader whose writes to the state service stall must recover or give up the leadership.
 
-Once on the bench, within late transactions, a leader placed work for minutes that was never
-written. Each way in which its main lane could stand is put in here.
+If commits are executed late and the writer stalls, a leader can place work for minutes that is
+never written. These tests stall the main writer in each way that is possible.
 """
 
 import asyncio
@@ -19,81 +19,79 @@
 Patch = pytest.MonkeyPatch
 
 
-def _short(number: int) -> dict[str, Any]:
+def _short_job(number: int) -> dict[str, Any]:
     return _long_job(number, 1) | {"expectedS": 4.0}
 
 
-class Standing(World):
-    """One commit that writes the log meets something that should never happen."""
+class StallingWorld(World):
+    """A world in which one commit of the log is cancelled or never ends."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.met: list[str] = []  # which leader's commit did
+        self.stalled_by: list[str] = []  # leaders whose commits were stalled
 
 
-def _strikes(world: Any, how: str, patch: Patch) -> None:
+def _stall_one_commit(world: Any, how: str, patch: Patch) -> None:
     plain = LedgerClient.commit
 
     async def commit(self: LedgerClient, conditions: Any, apply: Any, *rest: Any) -> int:
         keys = [op.get("write", "") for op in apply]
         leader = _acting_leader(world)
-        struck = leader is not None and leader.ledger is self and not world.met
-        if struck and any(key.startswith("cg/log/") for key in keys):
-            world.met.append(leader.settings.member)
+        stalls = leader is not None and leader.ledger is self and not world.stalled_by
+        if stalls and any(key.startswith("cg/log/") for key in keys):
+            world.stalled_by.append(leader.settings.member)
             if how == "cancelled":
                 raise asyncio.CancelledError
             await asyncio.sleep(1e6)
         return await plain(self, conditions, apply, *rest)
 
     patch.setattr(LedgerClient, "commit", commit)
-    # A second copy, or a look at what was written, would get around it.
+    # A second copy, or a read of what it wrote, would circumvent the stall.
     patch.setattr(LedgerClient, "_may_hedge", lambda self, changes: False)
 
 
-async def _served(world: Any, within: float) -> None:
-    world.spawn(world.user(_short(1), None))
-    await _wait_until(world, within, lambda: world.met)
+async def _wait_for_job(world: Any, within: float) -> None:
+    world.spawn(world.user(_short_job(1), None))
+    await _wait_until(world, within, lambda: world.stalled_by)
     await _wait_until(world, within, lambda: world.jobs["run-000001"]["over"] == "done")
 
 
 @pytest.mark.parametrize("how", ["cancelled", "for ever"])
-def test_a_commit_that_is_cancelled_or_never_ends_is_asked_for_again(
-    how: str, monkeypatch: Patch
-) -> None:
+def test_a_commit_that_is_cancelled_or_never_ends_is_repeated(how: str, monkeypatch: Patch) -> None:
     async def story(world: Any) -> None:
-        _strikes(world, how, monkeypatch)
+        _stall_one_commit(world, how, monkeypatch)
         leader = _acting_leader(world)
-        await _served(world, 40.0)
-        assert _acting_leader(world) is leader  # it costs no lead
+        await _wait_for_job(world, 40.0)
+        assert _acting_leader(world) is leader  # the leadership does not change
 
-    tell(story, 3, loss=0.0, kind=Standing)
+    tell(story, 3, loss=0.0, kind=StallingWorld)
 
 
-def test_without_a_bound_a_commit_that_never_ends_stops_all(monkeypatch: Patch) -> None:
+def test_without_a_time_limit_a_commit_that_never_ends_stops_all_work(monkeypatch: Patch) -> None:
     monkeypatch.setattr(constants, "COMMIT_MOST_S", 1e9)
     monkeypatch.setattr(constants, "STALL_S", 1e9)
 
     async def story(world: Any) -> None:
-        _strikes(world, "for ever", monkeypatch)
+        _stall_one_commit(world, "for ever", monkeypatch)
         with pytest.raises(AssertionError):
-            await _served(world, 100.0)
+            await _wait_for_job(world, 100.0)
 
-    tell(story, 3, loss=0.0, kind=Standing)
+    tell(story, 3, loss=0.0, kind=StallingWorld)
 
 
 @pytest.mark.parametrize("how", ["stands", "cancelled", "ends"])
-def test_a_leader_whose_main_lane_stands_gives_the_lead_away(how: str, monkeypatch: Patch) -> None:
-    """What stands in a way that nobody thought of: the next leader goes on within a minute."""
+def test_a_leader_whose_main_writer_stalls_is_replaced(how: str, monkeypatch: Patch) -> None:
+    """The writer stalls in an unforeseen way: the next leader continues within a minute."""
     plain = Writer._write
 
     async def story(world: Any) -> None:
         leader = _acting_leader(world)
-        first = leader.term
+        first_term = leader.term
 
         async def write(self: Writer, changes: Any, edits: Any) -> None:
-            lane = not any(change.admits for change in changes)
-            if lane and leader.term is first:
-                world.met.append("write")
+            is_main_writer = not any(change.admits for change in changes)
+            if is_main_writer and leader.term is first_term:
+                world.stalled_by.append("write")
                 if how == "cancelled":
                     raise asyncio.CancelledError
                 if how == "stands":
@@ -102,17 +100,17 @@
             await plain(self, changes, edits)
 
         monkeypatch.setattr(Writer, "_write", write)
-        await _served(world, constants.STALL_S + 30.0)
-        assert world.met == ["write"] and leader.term is not first
+        await _wait_for_job(world, constants.STALL_S + 30.0)
+        assert world.stalled_by == ["write"] and leader.term is not first_term
 
-    tell(story, 3, loss=0.0, kind=Standing)
+    tell(story, 3, loss=0.0, kind=StallingWorld)
 
 
-def test_an_outage_is_no_standstill(monkeypatch: Patch) -> None:
-    """Nothing can be written then: who still holds the lead afterwards goes on with it."""
+def test_an_outage_is_not_taken_for_a_stall(monkeypatch: Patch) -> None:
+    """Nothing can be written in an outage; a leader that keeps its lease continues afterwards."""
 
     async def story(world: Any) -> None:
-        world.spawn(world.user(_short(1), None))
+        world.spawn(world.user(_short_job(1), None))
         await _wait_until(world, 30.0, lambda: world.jobs and world.jobs["run-000001"]["accepted"])
         leader = _acting_leader(world)
         world.store.outage(constants.STALL_S + 15.0)
