--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -1,4 +1,8 @@
-"""The gap: a cancellation confirmed elsewhere while the leader is refused, then an outage."""
+"""Cancelled tasks must end in time even if the old leader does not learn of the cancellation.
+
+The state service refuses the old leader, a new leader confirms a cancellation to a user, and then
+the service has an outage. The old leader may still renew the worker, and must stop in time.
+"""
 
 import asyncio
 from typing import Any
@@ -23,35 +27,35 @@
 
 
 class CountsFromAnswer(Rules):
-    """Counts from when a renewal was answered."""
+    """Bug: a lease counts from when its renewal was answered."""
 
     def after_renewal(self, known: float, age: int) -> float:
         return super().proved(known, 0)
 
 
 class RestartsGraceOnRefusal(Rules):
-    """Each refused renewal starts the shelter once more."""
+    """Bug: each refused renewal starts the grace time for workers again."""
 
     def after_refusal(self, known: float) -> float:
         return max(known, 0.0)
 
 
 class ConfirmsBeforeDurable(Rules):
-    """The old leader confirms what it has only sent."""
+    """Bug: the old leader confirms a cancellation whose commit it has only sent."""
 
     def tells_user(self, state: State) -> bool:
         return state.commit_sent
 
 
 class KnownOnlyWhenAnswered(Rules):
-    """An own cancellation counts from when its commit was answered."""
+    """Bug: an own cancellation counts as known only once its commit is answered."""
 
     def known_when_requested(self) -> bool:
         return False
 
 
 class IgnoresHigherToken(Rules):
-    """An old leader answers who has seen a higher token, under that token."""
+    """Bug: an old leader answers a worker that has seen a higher token, under that token."""
 
     def on_higher_token(self, state: State) -> State:
         assert state.report is not None
@@ -62,27 +66,27 @@
 
 
 class RenewsRecentlyAnswered(Rules):
-    """Whoever was answered a moment ago is kept on, so that both keep a worker in turn."""
+    """Bug: a recently answered worker is renewed, so that two leaders keep it in turn."""
 
     def renews_worker(self, known: float | None, answered: int) -> bool:
         return known is not None and (answered < 2 or super().keeps(known, answered))
 
 
 class GraceWithoutMargin(Rules):
-    """The shelter lasts as long as `cancel_s` and the lease seem to allow."""
+    """Bug: the grace time has no margin below `cancel_s` less the lease."""
 
     grace = gap_model.WORKER_GRACE + 1
 
 
 class ListsCountFromAnswer(Rules):
-    """What others list counts from when their lists came, not from when they were asked."""
+    """Bug: lists of others count from when they arrived, not from when they were requested."""
 
     def after_peer_lists(self, known: float, age: int) -> float:
         return super().vouched(known, 0)
 
 
 class IncompleteLists(Rules):
-    """One that has told a user is not asked, or was just back and knows nothing of it."""
+    """Bug: a controller that told a user is not asked, or has restarted and does not know."""
 
     def is_listed(self, state: State) -> bool:
         return False
@@ -101,27 +105,27 @@
 ]
 
 
-def test_no_run_of_the_model_keeps_a_cancelled_task_for_too_long() -> None:
+def test_no_run_of_the_model_keeps_a_cancelled_task_too_long() -> None:
     seen, broken = explore(Rules())
     assert broken is None
-    assert seen > 100_000  # all of them: the walk ends by itself
+    assert seen > 100_000  # all reachable states: the exploration ends by itself
 
 
 @pytest.mark.parametrize("bug", BUGS)
-def test_bugs_of_the_gap_are_found_by_the_model(bug: type[Rules]) -> None:
+def test_the_model_finds_each_bug(bug: type[Rules]) -> None:
     _, broken = explore(bug())
     assert broken is not None
 
 
-# -- in the region ----------------------------------------------------------------------------
+# -- in the simulated region ------------------------------------------
 
-# Variants that came about: both sides cut from each other, machines that reach only the old
+# These seeds contain: both sides cut from each other, machines that reach only the old
 # leader, a second refusal, late transactions, tasks that save, three and five controllers.
 SEEDS = [7, 9, 25]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_drawn_gaps_break_nothing(seed: int) -> None:
+def test_random_gaps_break_no_rule(seed: int) -> None:
     found = gap.play(seed)
     assert not found["broken"], found["why"]
     assert found["came_about"] and not found["lost"]
@@ -157,7 +161,7 @@
 
 
 async def _abort_until_told(world: World, member: str, name: str) -> None:
-    """A user asks one controller for a job's end until it is told."""
+    """A user requests the abort of a job from one controller until it is confirmed."""
     world.jobs[name]["asked"] = True
     while world.jobs[name]["over"] is None:
         try:
@@ -172,7 +176,7 @@
 
 
 def _isolate_with_workers(world: World, leader: str, seconds: float) -> set[str]:
-    """Machines reach only this leader, and it none of the other controllers."""
+    """Cut machines off from all controllers but the leader, and it from the other ones."""
     others = set(world.members) - {leader}
     world.cut(set(world.workers), others, seconds, False)
     world.cut({leader}, others, seconds, False)
@@ -180,7 +184,7 @@
 
 
 async def _run_gap(world: World, save: float = 0.0) -> float:
-    """The meeting, at its hardest; how long after the confirmation the last task was there."""
+    """The worst case; returns how long after the confirmation the last task still ran, s."""
     spec = _long_job(1) | ({"savepointS": 5.0, "flushS": save} if save else {})
     world.spawn(world.user(spec, None))
     await _wait_for_tasks(world, spec["nameId"], 4)
@@ -192,7 +196,7 @@
     await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
     new = next(member for member in others if _is_acting(world, member))
     await _abort_until_told(world, new, spec["nameId"])
-    assert world.of_job(spec["nameId"]), "they are still there: only the old leader keeps them"
+    assert world.of_job(spec["nameId"]), "tasks ended early: the old leader should still renew them"
     world.store.outage(world.CANCEL_S + 30.0)
     await _wait_until(world, 60.0, lambda: not world.of_job(spec["nameId"]))
     return world.gone_most
@@ -210,7 +214,7 @@
 @pytest.mark.parametrize("kind", [World, FiveControllers])
 @pytest.mark.parametrize("save", [0.0, 4.0])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_old_leader_lets_its_workers_go_in_time(
+def test_the_old_leader_stops_renewing_workers_in_time(
     kind: type[World], save: float, seed: int
 ) -> None:
     took: list[float] = []
@@ -219,19 +223,19 @@
         took.append(await _run_gap(world, save))
 
     tell(story, seed, loss=0.0, kind=kind)
-    # Kept until the margin before `cancel_s`, and not let go much sooner either.
+    # Renewed until the margin before `cancel_s`, and not stopped much sooner either.
     assert World.LEASE_S < took[0] < World.CANCEL_S - constants.LIMBO_MARGIN_S + 0.5
 
 
 async def _cut_report_paths(world: World, path: str, old: str, new: str) -> None:
-    """Which controllers machines reach from the moment on in which two lead by their own word."""
+    """Restrict which controllers machines reach once two controllers consider themselves leader."""
     workers, others = sorted(world.workers), set(world.members) - {old}
-    if path == "relay":  # neither leader: a third controller carries their reports
+    if path == "relay":  # neither leader: a third controller forwards their reports
         world.cut(set(workers), {old, new}, 300.0, False)
-    elif path == "split":  # both leaders shelter, each its own
+    elif path == "split":  # each leader has workers of its own
         world.cut(set(workers[::2]), others, 300.0, False)
         world.cut(set(workers[1::2]), {old}, 300.0, False)
-    else:  # to the one, then to the other, and back
+    else:  # alternating between the leaders
         while True:
             for away in (others, {old}):
                 world.cut(set(workers), away, 5.0, False)
@@ -240,7 +244,7 @@
 
 @pytest.mark.parametrize("path", ["relay", "split", "to and fro"])
 @pytest.mark.parametrize("kind", [World, FiveControllers])
-def test_whatever_way_reports_take_in_the_gap(kind: type[World], path: str) -> None:
+def test_cancelled_tasks_end_on_every_path_of_reports(kind: type[World], path: str) -> None:
     async def story(world: World) -> None:
         names = [_long_job(number)["nameId"] for number in range(1, 5)]
         for number in range(1, 5):
@@ -270,12 +274,12 @@
 def _extend_on_each_renewal(patch: pytest.MonkeyPatch) -> None:
     plain = Leadership._renew
 
-    async def touch(self: Leadership) -> None:
+    async def renew(self: Leadership) -> None:
         await plain(self)
         if self.token:
             self.lease_expiry.record_peer_lists(self._clock.now())
 
-    patch.setattr(Leadership, "_renew", touch)
+    patch.setattr(Leadership, "_renew", renew)
 
 
 def _double_grace(patch: pytest.MonkeyPatch) -> None:
@@ -287,13 +291,13 @@
 
 
 def _never_step_down(patch: pytest.MonkeyPatch) -> None:
-    """Workers are kept by whoever holds a token, for as long as nobody says otherwise."""
+    """Bug: whoever holds a token renews workers until somebody objects."""
     patch.setattr(Leadership, "may_renew_workers", lambda self: self.token > 0)
     patch.setattr(Leadership, "step_down", lambda self: None)
 
 
 @pytest.mark.parametrize("bug", [_extend_on_each_renewal, _double_grace, _never_step_down])
-def test_bugs_of_the_gap_break_the_rule_in_the_region(
+def test_bugs_break_the_rule_in_the_simulated_region(
     bug: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
@@ -319,10 +323,10 @@
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_what_may_be_durable_counts_as_confirmed(
+def test_a_possibly_durable_cancellation_counts_as_confirmed(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The leader's own commit of a cancellation is executed, but every answer to it is lost."""
+    """The leader's commit of a cancellation is executed, but every answer to it is lost."""
     if bug:
         _kill_only_when_durable(monkeypatch)
     took: list[float] = []
@@ -337,8 +341,10 @@
         old = leader.settings.member
         _isolate_with_workers(world, old, 300.0)
         world.cut({"state"}, {old}, 300.0, False, one_way=True)
-        world.spawn(_abort_until_told(world, old, name))  # it is never told by this one
-        await _wait_until(world, 20.0, lambda: world.jobs[name]["over"])  # but by one that reads
+        world.spawn(_abort_until_told(world, old, name))  # never confirmed by this controller
+        await _wait_until(
+            world, 20.0, lambda: world.jobs[name]["over"]
+        )  # but by one that reads the record
         world.store.outage(world.CANCEL_S + 30.0)
         await _wait_until(world, 60.0, lambda: not world.of_job(name))
         took.append(world.gone_most)
@@ -347,7 +353,7 @@
     assert (took[0] > World.LEASE_S) == bug, took
 
 
-def test_the_operator_sees_the_gap(caplog: pytest.LogCaptureFixture) -> None:
+def test_metrics_and_logs_show_the_grace_time(caplog: pytest.LogCaptureFixture) -> None:
     seen: list[float] = []
 
     async def story(world: World) -> None:
@@ -370,16 +376,16 @@
     with caplog.at_level("WARNING"):
         tell(story, 3, loss=0.0)
     assert 3.9 < seen[0] - seen[1] < 4.1 and seen[2] == 0.0
-    said = [r for r in caplog.records if "lease no longer proved valid" in r.getMessage()]
-    assert said and said[0].token > 0 and said[0].left_s > 10.0  # type: ignore[attr-defined]
+    logged = [r for r in caplog.records if "lease no longer proved valid" in r.getMessage()]
+    assert logged and logged[0].token > 0 and logged[0].left_s > 10.0  # type: ignore[attr-defined]
     assert any("worker leases no longer renewed" in r.getMessage() for r in caplog.records)
 
 
-# -- who was told of which cancellations --------------------------------------------------------
+# -- which cancellations users were told of ------------------------------------------
 
 
 @pytest.mark.parametrize("case", ["all there", "one is down", "one is just back", "one is cut"])
-def test_in_an_outage_for_all_work_goes_on_as_long_as_all_can_be_asked(case: str) -> None:
+def test_in_an_outage_work_continues_while_all_controllers_answer(case: str) -> None:
     ends: list[int] = []
 
     async def story(world: World) -> None:
@@ -414,17 +420,19 @@
 
 
 @pytest.mark.parametrize("bug", [None, _empty_lists, _lists_ignored])
-def test_what_others_list_is_stopped(bug: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The gap once more, but the old leader reaches the others and does not heed their token."""
+def test_tasks_whose_cancellation_others_list_are_stopped(
+    bug: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The old leader reaches the other controllers, but ignores their higher token."""
     if bug is not None:
         bug(monkeypatch)
     plain = Leadership.observe_token
 
-    def heard(self: Leadership, token: int, member: str | None = None) -> None:
+    def observe_token(self: Leadership, token: int, member: str | None = None) -> None:
         if not self.token:
             plain(self, token, member)
 
-    monkeypatch.setattr(Leadership, "observe_token", heard)
+    monkeypatch.setattr(Leadership, "observe_token", observe_token)
 
     async def story(world: World) -> None:
         name = _long_job(1)["nameId"]
@@ -451,7 +459,7 @@
         tell(story, 1, loss=0.0)
 
 
-def test_a_process_lists_only_what_it_can_know_whole() -> None:
+def test_a_process_lists_only_a_period_that_it_knows_completely() -> None:
     clock = HandClock()
     told = Told(clock)
     clock.at += 10.0
@@ -461,15 +469,15 @@
     clock.at += 2.0
     told.note(200, {"nameId": "run-1", "status": "withdrawn"})
     assert told.since(4.0) == ["run-1"]
-    # Its question's way may have taken some time: what lies just before is listed as well.
+    # The question may have been delayed, so entries from just before are listed as well.
     assert told.since(0.0) == ["run-1"]
-    assert told.since(9.5) is None  # it may have begun after that: who was it before?
+    assert told.since(9.5) is None  # the process may have started later: it knows nothing earlier
     clock.at += 10.0
     assert told.since(0.0) == []
 
 
 @pytest.mark.parametrize("arg", [None, "soon", -1, float("nan"), True, [3.0]])
-def test_a_question_that_is_none_gets_no_list(arg: Any) -> None:
+def test_a_malformed_question_is_rejected(arg: Any) -> None:
     async def story(world: World) -> None:
         node = world.nodes[world.members[0]]
         assert node is not None
@@ -479,8 +487,8 @@
     tell(story, 1, loss=0.0)
 
 
-def test_when_the_record_is_back_only_it_counts() -> None:
-    """What a peer listed, and the record does not have, does not hold up a job for ever."""
+def test_after_an_outage_only_the_record_counts() -> None:
+    """A cancellation that a peer lists but the record lacks must not block a job for ever."""
 
     async def story(world: World) -> None:
         name = _long_job(1)["nameId"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""Who is there and who leads: views, the key's handover, and fleets in which several fail."""
+"""Membership views, handover of the leader key, and simultaneous failures of controllers.
+
+A view must not suspect a controller that answers, and must not call one failed whose lease lives.
+At no instant may two controllers act as leader, whatever fails during a handover.
+"""
 
 import asyncio
 import random
@@ -34,7 +38,7 @@
     max_examples=60,
     stateful_step_count=50,
     deadline=None,
-    derandomize=True,  # the same verdict each time
+    derandomize=True,  # the same examples in each run
     suppress_health_check=list(HealthCheck),
 )
 NAMES = ["n-0", "n-1", "n-2"]
@@ -42,7 +46,7 @@
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """Three controllers whose words are lost, held, repeated; they crash, stand still, return."""
+    """Three controllers with lost, delayed and repeated messages, which crash, stop and restart."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,13 +56,16 @@
         self.suspended = dict.fromkeys(NAMES, False)
         self.leased = dict.fromkeys(NAMES, True)
         self.views: dict[str, Views] = {}
-        self.last_status_at: dict[tuple[str, str], float] = {}  # (to, from) -> last word in time
-        self.unanswered_since: dict[
+        self.last_status_at: dict[
             tuple[str, str], float
-        ] = {}  # last unanswered question since a sign
-        self.last_process: dict[tuple[str, str], str] = {}  # process that last answered
-        self.last_words: dict[str, MemberStatus] = {}
-        self.delayed: list[tuple[str, MemberStatus, float]] = []  # to, what, when it was said
+        ] = {}  # (receiver, sender) -> time of last current status
+        # Time of the last unanswered request since the last evidence of life.
+        self.unanswered_since: dict[tuple[str, str], float] = {}
+        self.last_process: dict[tuple[str, str], str] = {}  # process that answered last
+        self.last_statuses: dict[str, MemberStatus] = {}
+        self.delayed: list[
+            tuple[str, MemberStatus, float]
+        ] = []  # receiver, status, time of sending
         for name in NAMES:
             self._start(name)
 
@@ -70,11 +77,11 @@
 
     def status_of(self, name: str) -> MemberStatus:
         own = self.views[name]
-        word = MemberStatus(
+        status = MemberStatus(
             name, own.own_process, own.incarnation, own.next_seq(), self.clock.wall()
         )
-        word.suspects = own.suspected_members()
-        return word
+        status.suspects = own.suspected_members()
+        return status
 
     def is_running(self, name: str) -> bool:
         return self.up[name] and not self.suspended[name]
@@ -107,15 +114,15 @@
     @precondition(lambda self: self.delayed)
     @rule(again=st.booleans())
     def a_delayed_status_arrives(self, again: bool) -> None:
-        to, word, at = self.delayed[0] if again else self.delayed.pop(0)
+        to, status, at = self.delayed[0] if again else self.delayed.pop(0)
         if self.is_running(to):
-            taken = self.views[to].accept_status(word, answer=False)
+            taken = self.views[to].accept_status(status, answer=False)
             if taken and self.clock.at - at <= constants.WORD_OLD_S:
-                self.last_status_at[to, word.member] = self.clock.at
+                self.last_status_at[to, status.member] = self.clock.at
 
     @rule(one=MEMBER, other=MEMBER, steps=st.integers(1, 6), wakes=st.booleans())
     def a_link_is_cut(self, one: str, other: str, steps: int, wakes: bool) -> None:
-        """Questions go unanswered, and the third is asked as `to_probe` says."""
+        """Requests stay unanswered, and the third controller probes as `members_to_probe` asks."""
         if one == other:
             return
         third = next(name for name in NAMES if name not in (one, other))
@@ -142,13 +149,13 @@
             self.crash_or_return(name)
         self.crash_or_return(name)
         self.ask(to, name, "fine")
-        self.views[to].accept_status(self.last_words[name], answer=False)
+        self.views[to].accept_status(self.last_statuses[name], answer=False)
 
     @rule(name=MEMBER)
     def crash_or_return(self, name: str) -> None:
         self.up[name] = not self.up[name]
         if not self.up[name]:
-            self.last_words[name] = self.status_of(name)
+            self.last_statuses[name] = self.status_of(name)
         if self.up[name]:
             self._start(name)
             self.leased[name] = True
@@ -158,7 +165,7 @@
 
     @rule(name=MEMBER, seconds=st.floats(0.5, 9.0))
     def suspend(self, name: str, seconds: float) -> None:
-        """Its clocks go on; what it heard before is old when it wakes."""
+        """Its clock continues, so that its evidence is outdated when it resumes."""
         if not self.is_running(name):
             return
         self.suspended[name] = True
@@ -169,7 +176,7 @@
         self.suspended[name] = False
         self.views[name].record_loop_delay(seconds)
         self.views[name].update_states()
-        if seconds > constants.LATE_S:  # it has no fresh evidence yet
+        if seconds > constants.LATE_S:  # it has no recent evidence yet
             for other, state in before.items():
                 assert state == SUSPECT or self.views[name].state_of(other) != SUSPECT, other
 
@@ -182,13 +189,13 @@
                     self.views[other].record_lease(name, "ended")
 
     @invariant()
-    def who_speaks_is_not_suspected(self) -> None:
+    def a_controller_that_sends_is_not_suspected(self) -> None:
         for (to, name), at in self.last_status_at.items():
             if self.is_running(to) and self.clock.at - at <= constants.SUSPECT_S:
                 assert self.views[to].state_of(name) == ALIVE, (to, name)
 
     @invariant()
-    def nobody_has_failed_whose_lease_lives(self) -> None:
+    def no_controller_with_a_live_lease_has_failed(self) -> None:
         for to in NAMES:
             for name in NAMES:
                 if name != to and self.leased[name]:
@@ -199,7 +206,7 @@
 
     @invariant()
     def suspicion_has_evidence(self) -> None:
-        """A question, asked since it last spoke, that was not answered."""
+        """There is an unanswered request since the last status of the suspected controller."""
         for to in NAMES:
             for name, view in self.views[to].by_member.items():
                 if self.is_running(to) and view.state == SUSPECT:
@@ -217,21 +224,21 @@
 
 
 def _run_machine() -> None:
-    """As the test runs it, but what it finds need not be made small."""
+    """Run the state machine as the test does, but without shrinking what it finds."""
     run_state_machine_as_test(
         ViewMachine, settings=settings(QUICK, max_examples=600, phases=[Phase.generate])
     )
 
 
-# -- who leads ----------------------------------------------------------------------
+# -- leader election ----------------------------------------------------------------------
 
 
 class MultipleLeaders(AssertionError):
-    """More than one controller acts, or one whose key is not its own."""
+    """More than one controller acts, or one acts without holding the leader key."""
 
 
 async def _check_single_leader(world: World, gaps: list[float] | None = None) -> None:
-    """Whoever acts holds the key at that instant; so no two act. Collects how long nobody did."""
+    """Check that whoever acts holds the key, so no two act; collects the times without leader."""
     acted = world.now
     while True:
         if _acting_leader(world) is not None:
@@ -255,17 +262,17 @@
     return next(acting, None)
 
 
-async def _wait_until(world: World, seconds: float, there: Callable[[], object]) -> float:
-    """How long it took until something is so; s."""
+async def _wait_until(world: World, seconds: float, condition: Callable[[], object]) -> float:
+    """Wait until a condition holds; returns how long that took, s."""
     began = world.now
-    while not there():
+    while not condition():
         assert world.now < began + seconds, "never"
         await asyncio.sleep(0.01)
     return world.now - began
 
 
 async def _run_handovers(world: World, gaps: list[float], troubled: bool) -> None:
-    """The lead is given away again and again, among losses, cuts and standstills."""
+    """Hand over repeatedly; `troubled`: with lost messages, cut links, suspensions, crashes."""
     world.spawn(_check_single_leader(world, gaps))
     rng = random.Random(world.rng.random())
     for _ in range(8):
@@ -285,12 +292,14 @@
                 world.loop.call_later(at, lambda m=member: world.loop.freeze(m, world.now + 4.0))
             elif kind == "crash":
                 world.loop.call_later(at, lambda m=member: world.spawn(world.restart(m, 2.0)))
-        node.handover.direct_at = world.now  # the others' proof is what counts
+        node.handover.direct_at = (
+            world.now
+        )  # so that the successors, too, count as reached by workers
         for other in world.nodes.values():
             if other is not None:
                 other.handover.direct_at = world.now
         if troubled and rng.random() < 0.4:
-            await asyncio.sleep(5.0)  # trouble alone
+            await asyncio.sleep(5.0)  # the fault alone, without a handover
         else:
             task = world.spawn(_give_lead(world, node))
             await asyncio.wait({task}, timeout=8.0)
@@ -307,7 +316,7 @@
         return False
 
 
-def test_the_lead_is_handed_over_without_two_and_almost_without_a_gap() -> None:
+def test_a_handover_has_at_most_one_leader_and_almost_no_gap() -> None:
     gaps: list[float] = []
     given = 0
 
@@ -324,7 +333,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_two_act_whatever_befalls_a_handover(seed: int) -> None:
+def test_no_two_controllers_act_whatever_fails_during_a_handover(seed: int) -> None:
     tell(lambda world: _run_handovers(world, [], True), seed)
 
 
@@ -354,36 +363,38 @@
             world.cut({member}, side, 60.0, False)
             took = await _wait_until(world, 20.0, lambda: _acting_leader(world) not in (None, node))
             assert took <= 10.0 + constants.CLOUD_TIMEOUT_S * (what == CLOUD)
-            await asyncio.sleep(0.5)  # it hears of its commit a moment after the successor
+            await asyncio.sleep(
+                0.5
+            )  # it gets the answer to its commit a moment after the successor
             assert node.handover.counts == {"given": 1}
 
         tell(story, 3, loss=0.0)
 
 
-def test_no_lead_goes_to_and_fro() -> None:
-    """Each controller gives it away at most once a minute, then ever more rarely."""
+def test_leadership_does_not_alternate_between_controllers() -> None:
+    """Each controller hands over at most once a minute, and less and less often."""
     clock = HandClock()
-    fitness = LeaderHealth(clock, 3.0)
-    fitness.start_leading()
+    health = LeaderHealth(clock, 3.0)
+    health.start_leading()
     given = []
     for _ in range(3600):
         clock.at += 1.0
-        if fitness.handover_reason(-1e9, False, clock.at, 5):
+        if health.handover_reason(-1e9, False, clock.at, 5):
             given.append(clock.at)
-            fitness.record_handover(True)
-            fitness.start_leading()
+            health.record_handover(True)
+            health.start_leading()
     assert len(given) <= 8
     assert all(b - a >= constants.HANDOVER_REST_S for a, b in zip(given, given[1:], strict=False))
 
 
-def test_of_two_processes_with_one_name_the_older_steps_aside() -> None:
+def test_of_two_processes_with_one_name_the_older_stops_serving() -> None:
     async def story(world: World) -> None:
         world.spawn(_check_single_leader(world))
         node = _acting_leader(world)
         assert node is not None
         member = node.settings.member
         old, context, epoch = node, world.contexts[member], world.epochs[member]
-        world.boot(member, "elsewhere")  # beside the old one, which goes on
+        world.boot(member, "elsewhere")  # in addition to the old one, which continues
         await _wait_until(world, 20.0, lambda: old.presence.is_superseded)
         assert not old.leadership.may_act() and not old.up()
         assert (await context.run(asyncio.create_task, old.handle("GET", "/up", b"")))[0] == 503
@@ -393,7 +404,7 @@
         stamp = new.views.stamp
         others = [n for n in world.nodes.values() if n is not None and n is not new]
         await asyncio.sleep(6.0)
-        for other in others:  # words of the older one change nothing
+        for other in others:  # statuses of the older one have no effect
             assert other.views.by_member[member].process == new.views.own_process
             assert other.views.by_member[member].incarnation[0] == stamp
         old.stop()
@@ -401,7 +412,7 @@
     tell(story, 4, loss=0.0)
 
 
-# -- messages of any kind --------------------------------------------------------------
+# -- malformed and false messages --------------------------------------------------------------
 
 
 def test_malformed_huge_stale_and_lying_messages_are_dropped_and_counted() -> None:
@@ -434,22 +445,22 @@
     tell(story, 5, loss=0.0)
 
 
-def test_a_loop_that_meets_a_bug_begins_anew() -> None:
-    """Else a controller would suspect everybody for ever, and be suspected by nobody."""
+def test_a_loop_that_raises_an_exception_is_restarted() -> None:
+    """Otherwise a controller would suspect all others for ever, without being suspected itself."""
 
     async def story(world: World) -> None:
         node = _acting_leader(world)
         assert node is not None
         plain, times = node.views.update_states, 0
 
-        def judge() -> None:
+        def update_states() -> None:
             nonlocal times
             times += 1
             if times < 3:
                 raise RuntimeError("a bug")
             plain()
 
-        node.views.update_states = judge  # type: ignore[method-assign]
+        node.views.update_states = update_states  # type: ignore[method-assign]
         await asyncio.sleep(8.0)
         assert times > 8
         assert all(view.state == ALIVE for view in node.views.by_member.values())
@@ -457,7 +468,7 @@
     tell(story, 6, loss=0.0)
 
 
-# -- fleets ------------------------------------------------------------------------------
+# -- whole clusters ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", [1, 2, 5])
@@ -466,48 +477,48 @@
     world, broken = play_day(day, seed)
     out = failover.Times()
     failover.count(world, broken, out)
-    told = failover.figures(out)
-    assert not broken and told["lost"] == 0 and told["served_least"] >= 0.5
-    assert told["lease_kills"] == 0 and told["false_verdicts"] == 0
-    assert told["takeovers"] >= 3 and told["lead_s_p50"] < 2.3
+    summary = failover.figures(out)
+    assert not broken and summary["lost"] == 0 and summary["served_least"] >= 0.5
+    assert summary["lease_kills"] == 0 and summary["false_verdicts"] == 0
+    assert summary["takeovers"] >= 3 and summary["lead_s_p50"] < 2.3
     assert world.store.refused_calls == 0
 
 
-# -- bugs put in on purpose ---------------------------------------------------------------
+# -- deliberate bugs, each of which a test must find ----------------------------------
 
 
 def _any_silence_is_evidence(patch: pytest.MonkeyPatch) -> None:
-    """Old silence counts, asked or not."""
+    """Bug: silence counts as evidence even without a request."""
     patch.setattr(Views, "_is_silence_evidence", lambda self, view, now: True)
 
 
 def _loop_delays_ignored(patch: pytest.MonkeyPatch) -> None:
-    def ran(self: Views, late_s: float) -> None:
+    def record_loop_delay(self: Views, late_s: float) -> None:
         pass
 
-    patch.setattr(Views, "record_loop_delay", ran)
+    patch.setattr(Views, "record_loop_delay", record_loop_delay)
 
 
 def _silence_means_failed(patch: pytest.MonkeyPatch) -> None:
     plain = Views._evaluate_state
 
-    def state(self: Views, view: Any, now: float) -> str:
+    def evaluate_state(self: Views, view: Any, now: float) -> str:
         found = plain(self, view, now)
         return FAILED if found == SUSPECT else found
 
-    patch.setattr(Views, "_evaluate_state", state)
+    patch.setattr(Views, "_evaluate_state", evaluate_state)
 
 
 def _any_process_accepted(patch: pytest.MonkeyPatch) -> None:
     plain = Views.accept_status
 
-    def take(self: Views, word: MemberStatus, answer: bool) -> bool:
-        if word.member in self.by_member:
-            self.by_member[word.member].answered_at = self.clock.now()
-            self.by_member[word.member].process = ""
-        return plain(self, word, answer)
+    def accept_status(self: Views, status: MemberStatus, answer: bool) -> bool:
+        if status.member in self.by_member:
+            self.by_member[status.member].answered_at = self.clock.now()
+            self.by_member[status.member].process = ""
+        return plain(self, status, answer)
 
-    patch.setattr(Views, "accept_status", take)
+    patch.setattr(Views, "accept_status", accept_status)
     patch.setattr(constants, "WORD_OLD_S", 1e9)
 
 
@@ -516,7 +527,7 @@
 
 
 @pytest.mark.parametrize("bug", VIEW_BUGS)
-def test_bugs_in_views_are_found(bug: Callable[[Any], None]) -> None:
+def test_bugs_in_views_are_detected(bug: Callable[[Any], None]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         bug(patch)
         with pytest.raises((AssertionError, ExceptionGroup)):
@@ -524,7 +535,7 @@
 
 
 def _acts_until_commit_answered(patch: pytest.MonkeyPatch) -> None:
-    """The old leader goes on until its commit is answered."""
+    """Bug: the old leader acts until its commit is answered."""
     plain = Leadership.hand_over
 
     async def hand_over(self: Leadership, *to: Any) -> bool:
@@ -540,16 +551,16 @@
 
 
 def _lease_counts_from_answer(patch: pytest.MonkeyPatch) -> None:
-    """A lease is counted from when it was heard of, and without a margin."""
+    """Bug: a lease counts from when its grant was answered, and without a margin."""
 
-    def proved(self: LeaseExpiry, sent_at: float, ttl_s: float) -> None:
+    def record_renewal(self: LeaseExpiry, sent_at: float, ttl_s: float) -> None:
         self.lease_valid_until = self.cancellations_known_until = self._clock.now() + 2 * ttl_s
 
-    patch.setattr(LeaseExpiry, "record_renewal", proved)
+    patch.setattr(LeaseExpiry, "record_renewal", record_renewal)
 
 
 def _resumes_after_lost_answer(patch: pytest.MonkeyPatch) -> None:
-    """A lost answer is taken for a commit that was not applied."""
+    """Bug: after a lost answer the commit counts as not executed."""
     plain = Leadership.hand_over
 
     async def hand_over(self: Leadership, *to: Any) -> bool:
@@ -566,7 +577,7 @@
 
 
 @pytest.mark.parametrize("bug", KEY_BUGS)
-def test_bugs_in_the_keys_handover_are_found(bug: Callable[[Any], None]) -> None:
+def test_bugs_in_the_handover_of_the_key_are_detected(bug: Callable[[Any], None]) -> None:
     found = 0
     for seed in range(8):
         with pytest.MonkeyPatch.context() as patch:
@@ -581,16 +592,16 @@
     assert found
 
 
-def test_a_token_from_the_future_would_end_a_lead() -> None:
-    """Without the bound on tokens one lying message deposes a good leader."""
+def test_without_the_token_bound_a_false_token_ends_a_leadership() -> None:
+    """Without the bound on tokens a single false message makes a healthy leader step down."""
 
     async def story(world: World) -> None:
         leader = _acting_leader(world)
         assert leader is not None
         other = next(iter(leader.views.by_member))
-        word = world.nodes[other].word()  # type: ignore[union-attr]
-        word.token, word.seq = leader.leadership.token + 10_000_000, word.seq + 1
-        await leader.on_peer({"q": "ping", "arg": msgspec.to_builtins(word)})
+        status = world.nodes[other].word()  # type: ignore[union-attr]
+        status.token, status.seq = leader.leadership.token + 10_000_000, status.seq + 1
+        await leader.on_peer({"q": "ping", "arg": msgspec.to_builtins(status)})
         assert not leader.leadership.may_act()
 
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,8 @@
-"""Processes that end and are back within a fraction of a second, once and again and again."""
+"""Controllers that restart within a fraction of a second, once or repeatedly.
+
+A quick restart must not leave the cluster without a leader until an old lease expires, revive an
+ended process through delayed messages, or let old commits take effect.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -29,7 +33,7 @@
 
 
 def _any_machine_job(world: World, number: int, **changes: Any) -> dict[str, Any]:
-    """A job that runs anywhere, known to the world."""
+    """A job specification that any machine can run, registered with the world."""
     plain = {"jobclass": "small", "owner": "blue", "oneZone": False, "spread": False}
     plain |= {"hosttypes": None, "site": None, "standby": True, "shape": "batch", "tasks": 4}
     plain |= {"expectedS": 4.0, "vcpus": 1.0, "memoryGb": 1.0, "savepointS": 0.0, "dueS": None}
@@ -41,7 +45,7 @@
 async def _restart_and_wait(
     world: World, who: list[str], after: float = BACK_S
 ) -> tuple[float, Node]:
-    """End these and start them again; how long until somebody leads, and who does."""
+    """Restart these controllers; returns the time until there is a leader, s, and the leader."""
     before = world.nodes[who[0]].leadership.highest_token  # type: ignore[union-attr]
     for member in who:
         world.spawn(world.restart(member, after))
@@ -58,8 +62,8 @@
 
 
 @pytest.mark.parametrize("case", ["leader", "two", "all"])
-def test_a_leader_that_is_back_at_once_does_not_wait_for_its_own_lease(case: str) -> None:
-    """It, or another, leads as soon as its new process runs; found to take 1.8 s and more."""
+def test_a_leader_that_restarts_at_once_does_not_wait_for_its_own_lease(case: str) -> None:
+    """Otherwise there is no leader for 1.8 s or more, until the old lease expires."""
     gaps: list[float] = []
 
     async def story(world: World) -> None:
@@ -81,7 +85,7 @@
     assert max(gaps) < 0.3
 
 
-def test_back_within_an_outage_the_next_leads_when_it_ends() -> None:
+def test_after_restarts_within_an_outage_a_leader_is_elected_at_its_end() -> None:
     async def story(world: World) -> None:
         world.spawn(_check_single_leader(world))
         await asyncio.sleep(2.0)
@@ -95,8 +99,12 @@
     tell(story, 3, loss=0.0)
 
 
-def test_back_within_an_outage_all_stay_with_the_balancer_and_serve_at_its_end() -> None:
-    """They knew no machine types, left the balancer, and were let in again seconds later."""
+def test_after_restarts_within_an_outage_all_stay_ready_and_serve_at_its_end() -> None:
+    """Restarted controllers know no machine types before the first read.
+
+    If they report not ready because of that, the load balancer removes them and readmits them
+    seconds after the outage.
+    """
 
     async def story(world: World) -> None:
         await asyncio.sleep(2.0)
@@ -125,38 +133,38 @@
 
 
 async def _start_second_process(world: World) -> None:
-    """Two processes of one name on two machines: the older one leads, and stands still."""
+    """Two processes of one name on two machines: the older one leads, and is suspended."""
     old = _acting_leader(world)
     assert old is not None
     member, lead = old.settings.member, old.leadership
     world.loop.freeze(member, world.now + 0.9)
-    world.loop.thaw(member)  # what waits already waits on, and the new process runs
+    world.loop.thaw(member)  # pending waits go on, and the new process runs
     world.boot(member, "on another machine")
     for _ in range(400):
         row = world.store.keys.get(LEADER_KEY)
         if lead.may_act() and (row is None or row[1] != lead.token):
-            raise MultipleLeaders("the older one may act, and the key is not its own")
+            raise MultipleLeaders("the older process may act, but the key is not its own")
         await asyncio.sleep(0.01)
     await _wait_until(world, 20.0, lambda: _acting_leader(world))
     old.stop()
 
 
-def test_a_process_elsewhere_with_the_leaders_name_waits_for_its_lease() -> None:
+def test_a_process_elsewhere_with_the_leaders_name_waits_for_the_lease() -> None:
     for seed in range(4):
         tell(_start_second_process, seed, loss=0.0)
 
 
 def _ignore_home(patch: pytest.MonkeyPatch) -> None:
-    """Whoever has the name ends the lease, wherever the other process runs."""
+    """Bug: a process revokes the lease of its name wherever the other process runs."""
     plain = Leadership._is_own_stale_key
 
-    def left_over(self: Leadership, value: Any) -> bool:
+    def is_own_stale_key(self: Leadership, value: Any) -> bool:
         return bool(value.member == self.member) or plain(self, value)
 
-    patch.setattr(Leadership, "_is_own_stale_key", left_over)
+    patch.setattr(Leadership, "_is_own_stale_key", is_own_stale_key)
 
 
-def test_ending_the_lease_of_a_process_elsewhere_is_found() -> None:
+def test_revoking_the_lease_of_a_process_elsewhere_is_detected() -> None:
     with pytest.MonkeyPatch.context() as patch:
         _ignore_home(patch)
         with pytest.raises(MultipleLeaders):
@@ -164,8 +172,8 @@
                 tell(_start_second_process, seed, loss=0.0)
 
 
-def test_who_laid_the_lead_down_ends_what_is_left_of_it() -> None:
-    """Its own key stood until its lease ended, and nobody led meanwhile."""
+def test_a_leader_that_stepped_down_revokes_its_own_lease() -> None:
+    """Otherwise its key stays until the lease expires, and nobody leads meanwhile."""
 
     async def story(world: World) -> None:
         world.spawn(_check_single_leader(world))
@@ -181,8 +189,8 @@
     tell(story, 2, loss=0.0)
 
 
-def test_a_successor_that_restarts_while_it_is_handed_the_lead_leaves_no_vacancy() -> None:
-    """The key comes to a name whose process has forgotten the lease that was made ready."""
+def test_a_successor_that_restarts_during_a_handover_leaves_no_vacancy() -> None:
+    """The key goes to a controller whose new process does not know the prepared lease."""
 
     async def story(world: World) -> None:
         world.spawn(_check_single_leader(world))
@@ -204,8 +212,8 @@
     tell(story, 1, loss=0.0)
 
 
-def test_a_young_process_lets_others_lead_first() -> None:
-    """Else a controller in a loop of crashes would take the lead each time."""
+def test_a_recently_started_process_lets_others_lead_first() -> None:
+    """Otherwise a controller that crashes repeatedly would take the leadership each time."""
 
     async def story(world: World) -> None:
         await asyncio.sleep(constants.YOUNG_S)
@@ -220,8 +228,8 @@
     tell(story, 4, loss=0.0)
 
 
-def test_a_follower_back_within_an_outage_sends_workers_to_the_leader() -> None:
-    """Without a read it knew no bound for tokens and called the leader's one from the future."""
+def test_a_follower_restarted_in_an_outage_redirects_workers_to_the_leader() -> None:
+    """Before its first read it has no bound for tokens, and must not reject the leader's token."""
 
     async def story(world: World) -> None:
         leader = _acting_leader(world)
@@ -247,31 +255,31 @@
     tell(story, 2, loss=0.0)
 
 
-def test_words_of_an_ended_process_bring_it_back_nowhere() -> None:
-    """Held words of the first process reset the view of the second, which has no key yet."""
+def test_delayed_statuses_do_not_revive_an_ended_process() -> None:
+    """Delayed statuses of the first process must not replace the second, which has no key yet."""
     clock = HandClock()
     views = Views("n-0", ["n-1", "n-2"], clock)
 
-    def word(process: str, stamp: int, seq: int) -> MemberStatus:
+    def status(process: str, stamp: int, seq: int) -> MemberStatus:
         return MemberStatus("n-1", process, (stamp, 0), seq, clock.wall())
 
-    assert views.accept_status(word("first", 50, 1), answer=True)
-    held, recent = word("first", 50, 2), word("first", 50, 3)
+    assert views.accept_status(status("first", 50, 1), answer=True)
+    delayed, recent = status("first", 50, 2), status("first", 50, 3)
     clock.at += 0.2
-    # It answers a question put just now, so that it is there, key or no key.
-    assert views.accept_status(word("second", 0, 1), answer=True)
+    # It answers a current request, so it is alive even without a key.
+    assert views.accept_status(status("second", 0, 1), answer=True)
     assert not views.accept_status(recent, answer=False)
     assert views.by_member["n-1"].process == "second" and views.state_of("n-1") == ALIVE
     clock.at += 1.5
-    assert not views.accept_status(held, answer=False)
+    assert not views.accept_status(delayed, answer=False)
     assert views.by_member["n-1"].process == "second"
-    assert views.accept_status(word("second", 0, 2), answer=False)
-    assert views.accept_status(word("second", 60, 3), answer=False)
-    assert not views.accept_status(word("first", 50, 4), answer=False)
+    assert views.accept_status(status("second", 0, 2), answer=False)
+    assert views.accept_status(status("second", 60, 3), answer=False)
+    assert not views.accept_status(status("first", 50, 4), answer=False)
 
 
-def test_a_first_report_that_was_held_proves_no_absence() -> None:
-    """A machine that has seen no token when it wrote it may have been given work since."""
+def test_a_delayed_first_report_does_not_prove_that_a_task_is_absent() -> None:
+    """A machine that had seen no token when it sent the report may have got work since."""
     clock = HandClock()
     spec = {"nameId": "run-000001", "jobclass": "x", "owner": "blue", "shape": "batch"}
     spec |= {"urgency": "high", "tasks": 2, "vcpus": 1.0, "gpus": 0.0, "memoryGb": 1.0}
@@ -282,7 +290,7 @@
         JobValue(parse_submission(msgspec.json.encode(spec), 16 * 1024), 0.0), 1, OpLog(16 * 1024)
     )
     fleet = Fleet(clock, 40, 12.0, 3.0)
-    earlier = Attempt(job, 0, 1, "host-1", 0)  # read from the record
+    earlier = Attempt(job, 0, 1, "host-1", 0)  # loaded from the record
     fleet.hold(earlier)
     own = Attempt(job, 1, 1, "host-1", 0)
     own.decided = clock.now()
@@ -296,7 +304,7 @@
 
 
 class _HoldingHttp:
-    """A process's way out on which writes are held; they come when its successor leads."""
+    """An HTTP client that holds back writes, to be delivered once the successor leads."""
 
     def __init__(self, plain: Any) -> None:
         self.plain = plain
@@ -309,8 +317,8 @@
         return await self.plain.call(addr, method, path, body, timeout)
 
 
-def test_late_commits_and_rentals_of_the_process_before_change_nothing() -> None:
-    """All that it sent comes after its next process, or another, has read the state."""
+def test_late_commits_and_rentals_of_an_earlier_process_change_nothing() -> None:
+    """All requests of the old process arrive after its successor has read the state."""
 
     async def story(world: World) -> None:
         leader = _acting_leader(world)
@@ -322,7 +330,9 @@
         raw = msgspec.json.encode(spec)
         world.spawn(world.within(member, leader.handle("POST", "/v2/runs", raw)))
         other = parse_submission(msgspec.json.encode(_any_machine_job(world, 2)), 16 * 1024)
-        leader.term.book.add(JobValue(other, 0.0), 0, observe=True)  # it rents for this one
+        leader.term.book.add(
+            JobValue(other, 0.0), 0, observe=True
+        )  # it rents machines for this job
         await asyncio.sleep(1.0)
         took, then = await _restart_and_wait(world, [member], 0.05)
         assert took < 0.5 and then.leadership.token > token
@@ -338,7 +348,7 @@
         assert status == 200 and all(hire.startswith(f"h{token}-") for hire in hires)
         name = then.settings.member
         answer = await world.within(name, then.handle("GET", f"/v2/runs/{spec['nameId']}", b""))
-        assert answer[0] == 404  # nobody was told otherwise
+        assert answer[0] == 404  # no user was told that the job exists
         answer = await world.within(name, then.handle("POST", "/v2/runs", raw))
         assert answer[0] == 201
         await _wait_until(world, 60.0, lambda: len(world.done) == spec["tasks"])
@@ -346,30 +356,30 @@
         term = then.term
         assert term is not None
         there = set(term.fleet.machines) | set(term.fleet.gone)
-        assert set(found["hosts"]) & set(world.cloud.machines) <= there  # adopted, or returned
+        assert set(found["hosts"]) & set(world.cloud.machines) <= there  # adopted or returned
 
     for seed in (1, 2, 3):
         tell(story, seed, loss=0.0)
 
 
-# -- loops of crashes -----------------------------------------------------------------------
+# -- crash loops ------------------------------------------
 
 
 def _crash_loop_day(seed: int, machines: int = 90, seconds: float = 120.0) -> Any:
-    """For a minute each process of all five controllers lives for 1 to 5 s."""
+    """A day on which each process of all five controllers runs only 1 to 5 s, for a minute."""
     day = failover.day(seed, machines=machines, seconds=seconds)
     day.faults = [Fault(10.0, "flap", BACK_S, who="all", times=20, every=3.0)]
     return day
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_loop_of_crashes_breaks_nothing_and_is_over_at_once(seed: int) -> None:
+def test_a_crash_loop_breaks_no_rule_and_has_no_lasting_effect(seed: int) -> None:
     day = _crash_loop_day(seed)
     day.faults.append(Fault(30.0, "stop", count=9))
     world, broken = play_day(day, seed)
-    told = figures(world, broken)
-    assert told["verdict"] == "ok" and told["unfinished"] == 0
-    assert world.store.refused_calls == 0  # neither requests nor changes above the budgets
+    summary = figures(world, broken)
+    assert summary["verdict"] == "ok" and summary["unfinished"] == 0
+    assert world.store.refused_calls == 0  # neither requests nor changes exceeded the limits
     tokens = sorted(world.obeyed)
     assert len(tokens) > 3
     ended = world.flapped_until
@@ -379,7 +389,7 @@
     assert urgent and max(urgent) < 10.0
 
 
-def test_incarnations_and_tokens_rise_through_a_loop_of_crashes() -> None:
+def test_incarnations_and_tokens_rise_during_a_crash_loop() -> None:
     async def story(world: World) -> None:
         stamps: dict[str, list[int]] = {member: [] for member in world.members}
         leads: list[int] = []
@@ -394,7 +404,7 @@
             leads.append(row[1] if row else 0)
         assert all(rows == sorted(set(rows)) and rows[0] for rows in stamps.values())
         assert leads == sorted(set(leads)) and leads[0]
-        assert len(world.store.leases) < 60  # what they leave behind ends by itself
+        assert len(world.store.leases) < 60  # leases of ended processes expire by themselves
         await asyncio.sleep(constants.MEMBER_TTL_S + 2.0)
         assert len(world.store.leases) <= 2 * len(world.members) + 1
 
@@ -402,7 +412,7 @@
 
 
 def test_a_crash_loop_costs_the_state_service_little_and_serves_within_ten_seconds() -> None:
-    """One controller, the one that would lead, does nothing but end."""
+    """One controller, the preferred leader, crashes again and again."""
 
     async def story(world: World) -> None:
         await asyncio.sleep(constants.YOUNG_S)
@@ -411,7 +421,7 @@
         member, before = node.settings.member, world.store.rev
         world.spawn(world.flap(member, 20, 3.0, BACK_S))
         await asyncio.sleep(60.0)
-        assert world.store.rev - before < 60 * 3  # changes: its key, and its part of the lead
+        assert world.store.rev - before < 60 * 3  # changes: its own key, and its share of elections
         assert world.store.refused_calls == 0
         leads = [n for n in world.nodes.values() if n is not None and n.leadership.may_act()]
         assert leads and leads[0].settings.member != member
@@ -420,16 +430,16 @@
 
 
 def _low_bound_before_first_read(patch: pytest.MonkeyPatch) -> None:
-    """As it was: a process that has read nothing believes no token above 6,000."""
+    """Bug: a process that has read nothing rejects every token above 6,000."""
     patch.setattr(LedgerClient, "max_possible_revision", lambda self: self.highest_revision + 6000)
 
 
 def _delayed_statuses_accepted(patch: pytest.MonkeyPatch) -> None:
-    """As it was: the process of a word is taken over before the word's age is looked at."""
+    """Bug: the process of a status is accepted before the age of the status is checked."""
     patch.setattr(
         Views,
         "_is_newer_process",
-        lambda self, view, word, answer: word.incarnation > view.incarnation,
+        lambda self, view, status, answer: status.incarnation > view.incarnation,
     )
 
 
@@ -437,11 +447,11 @@
     ("bug", "found_by"),
     [
         (_low_bound_before_first_read,
-         test_a_follower_back_within_an_outage_sends_workers_to_the_leader),
-        (_delayed_statuses_accepted, test_words_of_an_ended_process_bring_it_back_nowhere),
+         test_a_follower_restarted_in_an_outage_redirects_workers_to_the_leader),
+        (_delayed_statuses_accepted, test_delayed_statuses_do_not_revive_an_ended_process),
     ],
 )  # fmt: skip
-def test_bugs_of_quick_restarts_are_found(
+def test_bugs_in_quick_restarts_are_detected(
     bug: Callable[[Any], None], found_by: Callable[[], None]
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
