--- a/src/chalkgrade/membership/registration.py
+++ b/src/chalkgrade/membership/registration.py
@@ -40,7 +40,7 @@
         self.views = views
         self.retry_delay_s = retry_delay_s  # random, so that controllers do not retry all at once
         self.on_superseded = on_superseded
-        self.is_superseded = False
+        self.is_superseded = False  # by a newer process of the same name
         self.key = MEMBERS_PREFIX + views.own_member
         self.permit = 0
         self.is_registered = False
--- a/src/chalkgrade/state/client.py
+++ b/src/chalkgrade/state/client.py
@@ -106,6 +106,7 @@
         self._addr = addr
         self.limits = EffectiveLimits(limits)
         self._other_nodes = max(0, nodes - 1)
+        # Token buckets of all requests, and of written or removed keys.
         self.requests = Bucket(clock, 1.0, 1.0)
         self.writes = Bucket(clock, 1.0, 1.0)
         # The share of `requests` that reads for users may take: a burst of them must leave
@@ -114,14 +115,11 @@
         self.set_leading(False)
         for bucket in (self.requests, self.writes, self.queries):
             bucket.fill()
-        self.answered_at = -1e9
-        self.response_counts: dict[str, int] = {}
-        self._commit_times_s: deque[float] = deque(
-            maxlen=constants.LATENCIES
-        )  # s; of recent commits
-        self._response_times_s: deque[float] = deque(
-            maxlen=constants.LATENCIES
-        )  # s; of recent requests other than watches
+        self.answered_at = -1e9  # when the service last answered
+        self.response_counts: dict[str, int] = {}  # answers by status, and other events
+        # Durations of recent commits, and of recent requests other than watches.
+        self._commit_times_s: deque[float] = deque(maxlen=constants.LATENCIES)
+        self._response_times_s: deque[float] = deque(maxlen=constants.LATENCIES)
         self.highest_revision = 0  # highest revision seen, and when it was seen
         self.highest_revision_at = clock.now()
 
--- a/src/chalkgrade/state/leadership.py
+++ b/src/chalkgrade/state/leadership.py
@@ -134,15 +134,15 @@
                 if row is None:
                     await self._campaign()
                     continue
-                ours = self._observe_row(row)
+                start_args = self._observe_row(row)
                 value = msgspec.json.decode(row.v, type=LeaderValue)
                 is_stale = not self._handing_over and self._is_own_stale_key(value)
-                if ours is None and row.permit is not None and is_stale:
+                if start_args is None and row.permit is not None and is_stale:
                     log.info("own stale leader key: token %d, revoking its lease", row.stamp)
                     await self._ledger.revoke_lease(row.permit)
-                ours = ours or await self._wait_for_change(row.stamp)
-                if ours is not None:
-                    await self._start_leading(*ours)
+                start_args = start_args or await self._wait_for_change(row.stamp)
+                if start_args is not None:
+                    await self._start_leading(*start_args)
             except (*REQUEST_ERRORS, Conflict, Compacted, msgspec.DecodeError) as error:
                 log.debug("leadership request failed: %s", error)
                 pause = constants.CAMPAIGN_PAUSE_S * (0.5 + self._rng.random())
@@ -240,15 +240,15 @@
         Returns the arguments of `_start_leading` if the key was handed to this node.
         """
         changes = await self._ledger.watch_changes(LEADER_KEY, stamp, constants.LEADER_WATCH_S)
-        ours = None
+        start_args = None
         for change in changes.log:
-            ours = None
+            start_args = None
             if change.remove == LEADER_KEY:
                 self.set_leader(None)
             elif change.write == LEADER_KEY:
                 # The change contains the new value, which saves a read.
-                ours = self._observe_row(Row(LEADER_KEY, change.v, change.stamp))
-        return ours
+                start_args = self._observe_row(Row(LEADER_KEY, change.v, change.stamp))
+        return start_args
 
     async def _wait_turn(self) -> bool:
         """Let preferred candidates campaign first; returns whether the key is still free then."""
@@ -274,8 +274,8 @@
         async def observe() -> int:
             """The key's revision if the commit was executed, which the nonce shows; else 0."""
             row = await self._ledger.get(LEADER_KEY)
-            ours = row is not None and msgspec.json.decode(row.v, type=LeaderValue) == value
-            return row.stamp if row is not None and ours else 0
+            is_own = row is not None and msgspec.json.decode(row.v, type=LeaderValue) == value
+            return row.stamp if row is not None and is_own else 0
 
         try:
             commit = self._ledger.commit({LEADER_KEY: 0}, [write])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -56,16 +56,14 @@
         self.suspended = dict.fromkeys(NAMES, False)
         self.leased = dict.fromkeys(NAMES, True)
         self.views: dict[str, Views] = {}
-        self.last_status_at: dict[
-            tuple[str, str], float
-        ] = {}  # (receiver, sender) -> time of last current status
+        # Time of the last current status, by (receiver, sender).
+        self.last_status_at: dict[tuple[str, str], float] = {}
         # Time of the last unanswered request since the last evidence of life.
         self.unanswered_since: dict[tuple[str, str], float] = {}
         self.last_process: dict[tuple[str, str], str] = {}  # process that answered last
         self.last_statuses: dict[str, MemberStatus] = {}
-        self.delayed: list[
-            tuple[str, MemberStatus, float]
-        ] = []  # receiver, status, time of sending
+        # Receiver, status and time of sending of each delayed message.
+        self.delayed: list[tuple[str, MemberStatus, float]] = []
         for name in NAMES:
             self._start(name)
 
@@ -292,9 +290,7 @@
                 world.loop.call_later(at, lambda m=member: world.loop.freeze(m, world.now + 4.0))
             elif kind == "crash":
                 world.loop.call_later(at, lambda m=member: world.spawn(world.restart(m, 2.0)))
-        node.handover.direct_at = (
-            world.now
-        )  # so that the successors, too, count as reached by workers
+        node.handover.direct_at = world.now  # the successors' own reports are what counts
         for other in world.nodes.values():
             if other is not None:
                 other.handover.direct_at = world.now
