--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -30,7 +30,7 @@
     """Bug: a lease counts from when its renewal was answered."""
 
     def after_renewal(self, known: float, age: int) -> float:
-        return super().proved(known, 0)
+        return super().after_renewal(known, 0)
 
 
 class RestartsGraceOnRefusal(Rules):
@@ -69,7 +69,7 @@
     """Bug: a recently answered worker is renewed, so that two leaders keep it in turn."""
 
     def renews_worker(self, known: float | None, answered: int) -> bool:
-        return known is not None and (answered < 2 or super().keeps(known, answered))
+        return known is not None and (answered < 2 or super().renews_worker(known, answered))
 
 
 class GraceWithoutMargin(Rules):
@@ -82,7 +82,7 @@
     """Bug: lists of others count from when they arrived, not from when they were requested."""
 
     def after_peer_lists(self, known: float, age: int) -> float:
-        return super().vouched(known, 0)
+        return super().after_peer_lists(known, 0)
 
 
 class IncompleteLists(Rules):
