--- a/src/chalkgrade/cli.py
+++ b/src/chalkgrade/cli.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from chalkgrade import __version__
+from chalkgrade.extensions import subsystems
 from chalkgrade.logs import LEVELS, set_up
-from chalkgrade.seams import subsystems
 from chalkgrade.settings import Settings, SettingsError, load
 
 
@@ -33,7 +33,7 @@
     try:
         own = files["operator_settings"]
         settings = load(Path(config), Path(own) if own else None)
-        subsystems.read(settings, files)
+        subsystems.read_settings(settings, files)
         return settings
     except SettingsError as error:
         _fail(error)
--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -73,7 +73,7 @@
     for name, value in names.items():
         setattr(constants, name, value)
     usable = Fleet.usable
-    Fleet.usable = lambda self, machine: machine.baton in (0, self.token) and usable(self, machine)  # type: ignore[method-assign]
+    Fleet.usable = lambda self, machine: machine.token in (0, self.token) and usable(self, machine)  # type: ignore[method-assign]
     try:
         yield
     finally:
--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -8,12 +8,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from chalkgrade.leading.faults import Faults
+from chalkgrade.leading.failures import FailureTracker
 from chalkgrade.licences.needs import Needs
 from chalkgrade.licences.seats import SeatGate, Usable
 from chalkgrade.licences.settings import LicenceNeed, LicencePool, LicenceSettings
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.licences import LicenceServer, Tool
@@ -193,7 +193,7 @@
     log, jobs = OpLog(16 * 1024), dict[str, Job]()
     table = Needs(licences)
     gates = [SeatGate(table, queues, lambda p: Usable(POOL_SEATS))] if on else []
-    faults = Faults(1, clock)
+    faults = FailureTracker(1, clock)
     for number in range(TASKS // JOB_TASKS):
         spec = JobSpec(
             f"run-{number:06d}", f"class{number % POOLS}", teams[number // POOLS % 2].name, "batch",
@@ -207,7 +207,7 @@
         clock.at += 1.0
         for number in range(MACHINES):
             name = f"host-{number:06d}"
-            fleet.take(Report(name, 1, next(seqs), 1, "big", "ab"[number % 2]))
+            fleet.accept_report(Report(name, 1, next(seqs), 1, "big", "ab"[number % 2]))
         began = time.process_time()
         Round(jobs, fleet, {t.name: t for t in teams}, flavors, queues, clock, True, gates).run()
         if turn > 1:  # the first ones fill the machines
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -11,8 +11,8 @@
 
 from chalkgrade import constants
 from chalkgrade.experiments.licences import plain_settings
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.moves import part
 from chalkgrade.moves.optimum import optimum
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan, plan_many
@@ -296,12 +296,12 @@
 
     for number in range(machines):
         name = f"host-{number:06d}"
-        fleet.take(Report(name, 1, 1, 1, "big", "a"))
+        fleet.accept_report(Report(name, 1, 1, 1, "big", "a"))
         made = job(number, tasks // machines)
         for index in range(14):
             attempt = made.place(index, name)
             attempt.state, attempt.since = "running", clock.now()
-            fleet.hold(attempt)
+            fleet.attach_attempt(attempt)
     for number in range(large):
         job(900_000 + number, 1, urgency="high", vcpus=12.0, memoryGb=20.0, savepointS=0.0)
     clock.at += 10.0
@@ -317,7 +317,7 @@
         clock.at += constants.MOVE_RETRY_S
         for machine in fleet.machines.values():
             machine.reported_at = clock.at
-        moves.gate.begin(jobs.values(), clock.at)
+        moves.gate.begin_round(jobs.values(), clock.at)
         began = time.process_time()
         moves._look()
         took, looks = took + time.process_time() - began, looks + 1
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from chalkgrade.experiments.licences import plain_settings
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report, TaskReport
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.optimum import Stage, optimum
 from chalkgrade.pipelines.slack import inherit
@@ -112,7 +112,7 @@
             name = f"host-{number}"
             known = fleet.machines.get(name)
             tasks = [TaskReport(t, n) for t, n in (known.attempts if known is not None else {})]
-            fleet.take(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
+            fleet.accept_report(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
         inherit(graph, queues.dues, lambda job: queues.run_s(job))
         named = {team.name: team for team in teams}
         Round(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
--- a/src/chalkgrade/experiments/troubles.py
+++ b/src/chalkgrade/experiments/troubles.py
@@ -112,7 +112,7 @@
             for node in self.nodes.values():
                 term = node.term if node is not None else None
                 machine = term.fleet.machines.get(name) if term is not None else None
-                if machine is not None and machine.hearing.deaf:
+                if machine is not None and machine.response_tracker.responses_lost:
                     self.found.append(self.now - begun)
                     return
 
--- a/src/chalkgrade/seams/parts.py
+++ b/src/chalkgrade/extensions/components.py
@@ -7,10 +7,10 @@
 from collections.abc import Awaitable, Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
+from chalkgrade.extensions.constraints import StartConstraint
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.record.changes import Kept
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gate
 
 Loop = Callable[[], Awaitable[None]]
 
@@ -19,7 +19,7 @@
     """One family of figures: values by label; counters only ever grow."""
 
     name: str
-    text: str
+    help_text: str
     labels: tuple[str, ...]
     values: Mapping[tuple[str, ...], float]
     counter: bool = False
@@ -30,24 +30,24 @@
     return Sample(name, text, (), {(): value})
 
 
-def by_label(
+def labelled_sample(
     name: str, text: str, label: str, counts: Mapping[str, int], counter: bool = True
 ) -> Sample:
     """Figures with one label; counters unless said otherwise."""
     return Sample(name, text, (label,), {(key,): n for key, n in counts.items()}, counter)
 
 
-class Part:
+class Component:
     """What a term asks of a subsystem, and tells it. Everything is optional."""
 
-    kept: Sequence[Kept] = ()  # read before the jobs, written when dirty
-    gates: Sequence[Gate] = ()  # asked by every round
+    persisted_values: Sequence[Kept] = ()  # read before the jobs, written when dirty
+    start_constraints: Sequence[StartConstraint] = ()  # asked by every round
     # Loops that hold durable state: an error in one ends the lead, since only what is
     # read anew under a new token can be trusted then.
-    durable: Sequence[Loop] = ()
+    durable_loops: Sequence[Loop] = ()
     # Loops that decide: an error is logged and the loop begins again, since the same
     # input would meet the next leader.
-    loops: Sequence[Loop] = ()
+    decision_loops: Sequence[Loop] = ()
 
     def start(self) -> None:
         """The record is read, live attempts are on their machines; loops begin after this."""
--- a/src/chalkgrade/seams/subsystems.py
+++ b/src/chalkgrade/extensions/subsystems.py
@@ -32,7 +32,7 @@
     return importlib.import_module(f"chalkgrade.{name}.{module}")
 
 
-def read(settings: Settings, files: Mapping[str, str | None]) -> None:
+def read_settings(settings: Settings, files: Mapping[str, str | None]) -> None:
     """Read the files of those that are switched on; SettingsError names file and field."""
     for row in SUBSYSTEMS:
         path = files.get(row.name)
@@ -41,14 +41,14 @@
             settings.parts[row.name] = named(Path(path), reading)
 
 
-def joined(settings: Settings, joint: Any) -> Iterable[Any]:
+def create_components(settings: Settings, joint: Any) -> Iterable[Any]:
     """The parts of those that are on, in the table's order; `joint`: see `renting.joint`."""
     for row in SUBSYSTEMS:
         if row.name in settings.parts:
             yield _module(row.name, "part").join(settings.parts[row.name], joint)
 
 
-def refusals(settings: Settings) -> list[Callable[[Any], str | None]]:
+def submission_checks(settings: Settings) -> list[Callable[[Any], str | None]]:
     """Why a submission can never run, as far as they know: one function each."""
     on = [row.name for row in SUBSYSTEMS if row.name in settings.parts]
     makers = [(name, getattr(_module(name, "part"), "refusal", None)) for name in on]
--- a/src/chalkgrade/leading/faults.py
+++ b/src/chalkgrade/leading/failures.py
@@ -3,16 +3,16 @@
 import logging
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component
 from chalkgrade.logs import about
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.outside import Clock
 from chalkgrade.record.jobs import Attempt
-from chalkgrade.seams.parts import Part
 
 log = logging.getLogger("chalkgrade.faults")
 
 
-class Faults(Part):
+class FailureTracker(Component):
     """Counts failures by machine, and lets faulty jobs pause between probes."""
 
     def __init__(self, token: int, clock: Clock) -> None:
@@ -24,12 +24,12 @@
         if machine is None:
             return
         if cause == "done":
-            machine.failed.clear()
-        elif cause in FAILED:
+            machine.failures_by_job.clear()
+        elif cause in FAILURE_CAUSES:
             machine.failed_at = self._clock.now()
             job.trials = 1
             if cause == "error":
-                machine.failed[job] = machine.failed.get(job, 0) + 1
+                machine.failures_by_job[job] = machine.failures_by_job.get(job, 0) + 1
             if job.faulty or cause == "unknown":
                 # Tasks that were under way fail at once, as one; probes fail one by one.
                 pause = constants.JOB_BACKOFF_S * 2 ** min(8, job.probes if not job.live else 0)
@@ -43,7 +43,9 @@
                 extra=about(self._token, job.name, machine.name, attempt.label),
             )
         elif cause == "no_room":
-            machine.misread = True  # our picture of it is wrong: wait for the next report
+            machine.capacity_misreported = (
+                True  # our picture of it is wrong: wait for the next report
+            )
 
 
-FAILED = ("error", "unknown")  # causes that count as a failure of the attempt
+FAILURE_CAUSES = ("error", "unknown")  # causes that count as a failure of the attempt
--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import Pool
+from chalkgrade.machines.flavors import Pool
 from chalkgrade.renting.renter import Renter
 from chalkgrade.sharing.domain import Domain
 
@@ -36,7 +36,7 @@
     failed: dict[str, dict[str, int]] = {}  # machine -> job -> failures since its last success
 
 
-def gather(domain: Domain, renter: Renter) -> Hints:
+def gather_hints(domain: Domain, renter: Renter) -> Hints:
     """The hints of a term, each kind bounded."""
     clock, fleet, most = domain.office.clock, domain.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
@@ -45,8 +45,8 @@
     out.refused = [(pool, until + shift) for pool, until in renter.blocked.items() if until > now]
     machines = fleet.machines.values()
     out.booting = [
-        (m.name, (m.hosttype, m.site, m.standby), m.born + shift)
-        for m in islice((m for m in machines if m.reported_at is None and m.hired), most)
+        (m.name, (m.hosttype, m.site, m.standby), m.rented_at + shift)
+        for m in islice((m for m in machines if m.reported_at is None and m.rented_this_term), most)
         if not m.releasing
     ]
     out.silent = {
@@ -55,14 +55,14 @@
         if machine.reported_at is not None and now - machine.reported_at > fleet.silent_s
     }
     out.failed = {
-        machine.name: {job.name: count for job, count in machine.failed.items()}
+        machine.name: {job.name: count for job, count in machine.failures_by_job.items()}
         for machine in machines
-        if machine.failed
+        if machine.failures_by_job
     }
     return out
 
 
-def apply(hints: Hints, domain: Domain, renter: Renter) -> None:
+def apply_hints(hints: Hints, domain: Domain, renter: Renter) -> None:
     """Begin a term with what the last leader said, as far as the record agrees."""
     clock, fleet, jobs = domain.office.clock, domain.fleet, domain.book.jobs
     shift = clock.now() - clock.wall()
@@ -70,37 +70,37 @@
     latest = clock.now() + constants.REFUSED_S
     renter.blocked |= {pool: min(latest, until + shift) for pool, until in hints.refused}
     for name, pool, born in hints.booting:
-        machine = fleet.machine(name, *pool)
-        machine.hired, machine.born = True, born + shift
+        machine = fleet.get_or_add(name, *pool)
+        machine.rented_this_term, machine.rented_at = True, born + shift
     for name, at in hints.silent.items():
         known = fleet.machines.get(name)
         if known is not None:
-            known.silent_from = at + shift
+            known.silent_since = at + shift
     for name, counts in hints.failed.items():
         if name in fleet.machines:
             # One at most: that a machine is returned needs a failure that we have seen.
             failed = [jobs[job] for job, count in counts.items() if job in jobs and count > 0]
-            fleet.machines[name].failed |= dict.fromkeys(failed[:1], 1)
+            fleet.machines[name].failures_by_job |= dict.fromkeys(failed[:1], 1)
     told = (len(hints.booting), len(hints.silent))
     log.info("hints of term %d: %d booting, %d silent", hints.token, *told)
 
 
-class Succession:
+class HintExchange:
     """One controller's side: the hints it has heard, and how it tells its own."""
 
     def __init__(self, tell: Callable[[Hints], Awaitable[None]]) -> None:
-        self.tell = tell
-        self.heard: Hints | None = None
+        self.publish = tell
+        self.received: Hints | None = None
 
-    def hear(self, hints: Hints, leads: int) -> bool:
+    def receive(self, hints: Hints, leads: int) -> bool:
         """Keep what the present leader says; False for what is older, or of nobody's term."""
-        if hints.token < leads or (self.heard is not None and hints.at <= self.heard.at):
+        if hints.token < leads or (self.received is not None and hints.at <= self.received.at):
             return False
-        self.heard = hints
+        self.received = hints
         return True
 
-    def fresh(self, token: int, wall: float) -> Iterable[Hints]:
+    def usable_hints(self, token: int, wall: float) -> Iterable[Hints]:
         """The hints of an earlier term, if they are young enough to be of use."""
-        hints = self.heard
+        hints = self.received
         if hints is not None and hints.token < token and wall - hints.at < constants.HINTS_AGE_S:
             yield hints
--- a/src/chalkgrade/leading/images.py
+++ b/src/chalkgrade/leading/images.py
@@ -1,17 +1,17 @@
 """Which images machines hold, as far as reports and the record tell."""
 
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.outside import Clock
 
 
-def hint(machine: Machine, images: dict[str, float], clock: Clock) -> None:
+def add_recorded_images(machine: Machine, images: dict[str, float], clock: Clock) -> None:
     """What the record says a machine was given work for (image -> GB): older than reports."""
     machine.image_gb |= images
     machine.images = {**dict.fromkeys(images, clock.now()), **machine.images}
 
 
-def holds(machine: Machine, bundle: str, flavor: Flavor | None, clock: Clock) -> None:
+def record_image_use(machine: Machine, bundle: str, flavor: Flavor | None, clock: Clock) -> None:
     """A task there has its image; the most recently used fit the machine's disk."""
     machine.images.pop(bundle, None)
     machine.images[bundle] = clock.now()
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -5,23 +5,23 @@
 
 from chalkgrade import constants
 from chalkgrade.leading import images
-from chalkgrade.leading.scheduling import Scheduling
-from chalkgrade.machines.fleet import Machine, Report, orders
+from chalkgrade.leading.scheduling import RoundScheduler
+from chalkgrade.machines.fleet import Machine, Report, build_orders
 from chalkgrade.record.jobs import Attempt
 from chalkgrade.sharing.domain import Domain
 
-Ended = Callable[[Machine | None, Attempt, str], None]
+AttemptEndedCallback = Callable[[Machine | None, Attempt, str], None]
 
 
-class Reports:
+class ReportHandler:
     """Answers workers under one token."""
 
     def __init__(
         self,
         domain: Domain,
-        scheduling: Scheduling,
+        scheduling: RoundScheduler,
         took_in: Callable[[Machine, bool], None],
-        ended: Ended,
+        ended: AttemptEndedCallback,
     ) -> None:
         self.office = domain.office
         self.leadership = domain.office.leadership
@@ -31,10 +31,12 @@
         self.flavors = domain.flavors
         self.live = domain.live
         self.scheduling = scheduling
-        self.took_in = took_in  # a newest report was taken in; whether it was the first
-        self.ended = ended  # an attempt is over; its cause, or empty
+        self.on_report_accepted = took_in  # a newest report was taken in; whether it was the first
+        self.on_attempt_ended = ended  # an attempt is over; its cause, or empty
 
-    async def hello(self, report: Report, relayed: bool = False) -> tuple[int, dict[str, Any]]:
+    async def handle_report(
+        self, report: Report, relayed: bool = False
+    ) -> tuple[int, dict[str, Any]]:
         """Answer one report; one that another controller carries is held for less long."""
         if report.baton > self.office.token:
             self.leadership.heard(report.baton)
@@ -42,53 +44,57 @@
         received_at = self.clock.now()
         known = self.fleet.machines.get(report.host)
         first = known is None or known.reported_at is None
-        machine = self.fleet.take(report)
+        machine = self.fleet.accept_report(report)
         answer: dict[str, Any] = {"baton": self.office.token, "orders": []}
         if machine is None:
             return 200, answer
-        self.took_in(machine, first)
+        self.on_report_accepted(machine, first)
         if machine.name in self.book.images:
-            images.hint(machine, self.book.images.pop(machine.name), self.clock)
+            images.add_recorded_images(machine, self.book.images.pop(machine.name), self.clock)
         self._reconcile(machine)
         if self.live():
-            await self._hold(machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S)
+            await self._wait_for_decisions(
+                machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S
+            )
         if not self.leadership.sheltering() or self.leadership.token != self.office.token:
             return 421, {}
         current = (machine.tenure, machine.seq) == (report.tenure, report.seq)
         machine.answered_at = self.clock.now()
-        useless = machine.releasing or machine.hearing.deaf
-        answer["orders"] = orders(
+        useless = machine.releasing or machine.response_tracker.responses_lost
+        answer["orders"] = build_orders(
             machine,
-            self._forgettable(machine),
+            self._forgettable_attempts(machine),
             self.clock,
             launches=current and self.live() and not useless,
         )
         if current:
-            machine.hearing.answers((report.tenure, report.seq), received_at, self.clock.now())
+            machine.response_tracker.on_response_sent(
+                (report.tenure, report.seq), received_at, self.clock.now()
+            )
         return 200, answer
 
-    async def _hold(self, machine: Machine, idle_s: float) -> None:
+    async def _wait_for_decisions(self, machine: Machine, idle_s: float) -> None:
         """Wait shortly for a round and its commit, so that launches go with this answer.
 
         A machine with nothing to do is held for longer: it has nothing to tell,
         and work that comes meanwhile need not wait for its next report.
         """
-        machine.open += 1
+        machine.open_reports += 1
         try:
             deadline = self.clock.now() + constants.ANSWER_HOLD_S
             if self.scheduling.wants_work(machine):
-                self.scheduling.wanted.set()
-                await self.scheduling.done.wait(deadline - self.clock.now())
+                self.scheduling.round_requested.set()
+                await self.scheduling.round_finished.wait(deadline - self.clock.now())
             if not machine.attempts and not machine.tasks and self.fleet.usable(machine):
-                await machine.given.wait(idle_s)
+                await machine.work_assigned.wait(idle_s)
                 deadline = self.clock.now() + constants.ANSWER_HOLD_S
             while self.live() and not all(a.durable for a in machine.attempts.values()):
                 if not await self.book.committed.wait(deadline - self.clock.now()):
                     return
         finally:
-            machine.open -= 1
+            machine.open_reports -= 1
 
-    def _forgettable(self, machine: Machine) -> list[tuple[str, int]]:
+    def _forgettable_attempts(self, machine: Machine) -> list[tuple[str, int]]:
         """Ended tasks whose outcome is durable."""
         return [
             key
@@ -104,16 +110,21 @@
         for key, attempt in list(machine.attempts.items()):
             entry = machine.tasks.get(key)
             if entry is None:
-                if not self.fleet.absent(machine, attempt):
+                if not self.fleet.is_surely_absent(machine, attempt):
                     continue
                 attempt.state = ""
                 stopped = attempt.kill_at is not None or attempt.job.aborted
-                if stopped or machine.releasing or machine.warned or machine.hearing.deaf:
-                    self.ended(machine, attempt, "")
+                if (
+                    stopped
+                    or machine.releasing
+                    or machine.has_termination_notice
+                    or machine.response_tracker.responses_lost
+                ):
+                    self.on_attempt_ended(machine, attempt, "")
                 continue
             if entry.status == "ended":
-                if self.fleet.over(machine, attempt, entry.cause or ""):
-                    self.ended(machine, attempt, entry.cause or "unknown cause")
+                if self.fleet.is_surely_ended(machine, attempt, entry.cause or ""):
+                    self.on_attempt_ended(machine, attempt, entry.cause or "unknown cause")
                 continue
             if entry.status == "running" and attempt.state != "running":
                 attempt.since = now
@@ -129,8 +140,10 @@
                 attempt.job.trials = max(1, 2 * ran)
             machine.image_gb[spec.bundle] = spec.pullGb
             if entry.status != "fetching":
-                images.holds(machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock)
-            if machine.warned and attempt.kill_at is None and spec.savepointS > 0:
+                images.record_image_use(
+                    machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock
+                )
+            if machine.has_termination_notice and attempt.kill_at is None and spec.savepointS > 0:
                 attempt.kill_at = now  # save while the machine lasts
         if machine.attempts:
             machine.busy_at = now
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Iterable
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample, gauge
+from chalkgrade.extensions.constraints import StartConstraint
+from chalkgrade.machines.flavors import Pool
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import Pool
 from chalkgrade.outside import Signal
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, gauge
 from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.rounds import Round
 from chalkgrade.sharing.standing import Standing, line, standing
@@ -19,7 +19,7 @@
 log = logging.getLogger("chalkgrade.scheduling")
 
 
-class Scheduling(Part):
+class RoundScheduler(Component):
     """Plays rounds when something happened, at most `round_s` apart."""
 
     def __init__(
@@ -35,36 +35,36 @@
         self.queues = queues = domain.queues
         self.flavors = domain.flavors
         self.live = domain.live
-        self.sweep = sweep  # looks for attempts that are surely gone
-        self.refused = refused  # pools without capacity of late
-        self.outer: list[Gate] = []  # other parts' gates
+        self.expire_leases = sweep  # looks for attempts that are surely gone
+        self.pools_without_capacity = refused  # pools without capacity of late
+        self.component_constraints: list[StartConstraint] = []  # other parts' gates
         self.teams = {team.name: team for team in office.settings.cluster.teams}
-        self.wanted = asyncio.Event()
-        self.done = Signal()
-        self.least_waiting = float("inf")  # CPUs of the smallest task that waited lately
+        self.round_requested = asyncio.Event()
+        self.round_finished = Signal()
+        self.min_waiting_cpus = float("inf")  # CPUs of the smallest task that waited lately
         self.preempted_at = -1e9
-        self.told_at = -1e9
-        self.kept = queues.kept
-        self.loops = [self._loop]
+        self.status_logged_at = -1e9
+        self.persisted_values = queues.kept
+        self.decision_loops = [self._loop]
 
     # -- as a part ------------------------------------------------------------------
 
     def start(self) -> None:
-        self.wanted.set()
+        self.round_requested.set()
 
     def on_job(self, job: Job, fresh: bool) -> None:
         if job.held:
             return  # it comes again once it may run
         if fresh:
             self.queues.observe_submission(job)
-        self.least_waiting = 0.0  # until the next round knows
-        self.wanted.set()
+        self.min_waiting_cpus = 0.0  # until the next round knows
+        self.round_requested.set()
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
         # Of what an earlier leader started we have not seen the beginning: it would pass for short.
         if cause == "done" and attempt.since and attempt.decided:
             self.queues.observe_run(attempt.job, self.clock.now() - attempt.since)
-        self.wanted.set()
+        self.round_requested.set()
 
     def samples(self) -> Iterable[Sample]:
         jobs = self.book.jobs.values()
@@ -85,28 +85,28 @@
         while True:
             try:
                 async with asyncio.timeout(self.office.settings.operator.round_s):
-                    await self.wanted.wait()
+                    await self.round_requested.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
+            self.round_requested.clear()
             began = self.clock.now()
-            if not self.live() and began - self.told_at >= constants.TELL_EVERY_S:
-                self.told_at = began
+            if not self.live() and began - self.status_logged_at >= constants.TELL_EVERY_S:
+                self.status_logged_at = began
                 log.warning("nothing is started: %s", line(self.standing()) or "no lease")
             if self.live():
-                self.sweep()
-                self._round(began)
+                self.expire_leases()
+                self._run_round(began)
                 waiting = (j.spec.vcpus for j in self.book.jobs.values() if len(j.waiting))
                 # Each report asks for it: once a round, not once a report and job.
-                self.least_waiting = min(waiting, default=float("inf"))
-                if self.book.log.pending or any(kept.dirty for kept in self.kept):
+                self.min_waiting_cpus = min(waiting, default=float("inf"))
+                if self.book.log.pending or any(kept.dirty for kept in self.persisted_values):
                     self.book.flush_wanted.set()
-            self.done.fire()
+            self.round_finished.fire()
             # Rounds that take long must leave time for reports and users.
             took = self.clock.now() - began
             await asyncio.sleep(max(constants.ROUND_MIN_S, constants.ROUND_REST * took))
 
-    def _round(self, now: float) -> None:
+    def _run_round(self, now: float) -> None:
         """Steps 4 to 7 on the room that reports."""
         preempt = now - self.preempted_at >= constants.PREEMPT_EVERY_S
         if preempt:
@@ -119,21 +119,21 @@
             self.queues,
             self.clock,
             preempt,
-            self.outer,
+            self.component_constraints,
         )
         placed = plan.run()
         if placed or plan.stopped:
             log.debug("round: placed %d, stopping %d", placed, plan.stopped)
-        if now - self.told_at >= constants.TELL_EVERY_S:
-            self.told_at = now
-            self._tell()
+        if now - self.status_logged_at >= constants.TELL_EVERY_S:
+            self.status_logged_at = now
+            self._log_status()
 
     def wants_work(self, machine: Machine) -> bool:
         """Whether a round may find something for a machine that has just reported."""
         flavor = self.flavors.get(machine.hosttype)
         if flavor is None or not self.fleet.usable(machine):
             return False
-        return machine.used[0] + self.least_waiting <= flavor.vcpus + 1e-9
+        return machine.used[0] + self.min_waiting_cpus <= flavor.vcpus + 1e-9
 
     # -- what operators hear ----------------------------------------------------------
 
@@ -145,13 +145,13 @@
             self.teams,
             self.flavors,
             self.queues,
-            self.refused(),
+            self.pools_without_capacity(),
             self.live(),
             self.clock.now(),
-            self.outer,
+            self.component_constraints,
         )
 
-    def _tell(self) -> None:
+    def _log_status(self) -> None:
         """One line for operators: what there is, what runs, what waits."""
         states: dict[str, int] = defaultdict(int)
         waiting: dict[str, int] = defaultdict(int)
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -13,13 +13,15 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.leading.faults import FAILED, Faults
-from chalkgrade.leading.hints import Succession, apply, gather
-from chalkgrade.leading.reports import Reports
-from chalkgrade.leading.scheduling import Scheduling
+from chalkgrade.extensions import subsystems
+from chalkgrade.extensions.components import Component, Loop, Sample, gauge, labelled_sample
+from chalkgrade.leading.failures import FAILURE_CAUSES, FailureTracker
+from chalkgrade.leading.hints import HintExchange, apply_hints, gather_hints
+from chalkgrade.leading.reports import ReportHandler
+from chalkgrade.leading.scheduling import RoundScheduler
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Machine, Report
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.outside import Http, NoAnswer, Signal
 from chalkgrade.pipelines.part import Pipelines
 from chalkgrade.record import apart
@@ -30,8 +32,6 @@
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
-from chalkgrade.seams import subsystems
-from chalkgrade.seams.parts import Loop, Part, Sample, by_label, gauge
 from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.state.ledger import Conflict, NotExecuted
@@ -54,7 +54,7 @@
         flavors: dict[str, Flavor],
         remember: Callable[[str, str, int], object],
         http: Http,
-        succession: Succession,
+        succession: HintExchange,
     ) -> None:
         self.office = office
         self.leadership = office.leadership
@@ -62,50 +62,52 @@
         workers = office.settings.cluster.workers
         self.fleet = Fleet(office.clock, office.token, workers.lease_s, workers.report_s)
         self.queues = Queues(office.settings, office.clock, flavors, office.ledger.limits.value_b)
-        self.parts: list[Part] = []
-        self.book = Book(office, remember, self._job_came)
+        self.components: list[Component] = []
+        self.book = Book(office, remember, self._on_job)
         self.jobs = self.book.jobs
-        self.succession = succession
+        self.hint_exchange = succession
         self.domain = domain = Domain(
-            office, self.book, self.fleet, self.queues, flavors, self.live
+            office, self.book, self.fleet, self.queues, flavors, self.is_serving
         )
-        self.renter = Renter(domain, cloud, self._lost, self._able)
+        self.renter = Renter(domain, cloud, self._on_attempt_lost, self._max_demand)
         self.renter.coming = lambda: self.pipelines.graph.coming(
             self.queues.ends_in_s, constants.COMING_S
         )
-        self.scheduling = Scheduling(domain, self._sweep, self.renter.refused)
-        self.reports = Reports(domain, self.scheduling, self._took_in, self._ended)
+        self.scheduling = RoundScheduler(domain, self._expire_leases, self.renter.refused)
+        self.reports = ReportHandler(
+            domain, self.scheduling, self._on_report_accepted, self._on_attempt_ended
+        )
         self.ready = False
-        self.loaded = Signal()  # the record is read: reports are taken from now on
+        self.record_loaded = Signal()  # the record is read: reports are taken from now on
         self.tasks: list[asyncio.Task[None]] = []
-        self.counts: dict[str, int] = defaultdict(int)  # ended attempts by cause
-        self.believed: set[str] = set()  # jobs that others have told of, see `believe`
+        self.ended_by_cause: dict[str, int] = defaultdict(int)  # ended attempts by cause
+        self.reported_cancelled: set[str] = set()  # jobs that others have told of, see `believe`
         self.writer = Writer(office, self.book)
-        self.pipelines = Pipelines(self.book, self._job_came, self.queues.dues, self.queues.takes_s)
-        self.add(self.pipelines)
-        self.add(Faults(office.token, office.clock))
-        self.add(self.scheduling)
-        self.add(self.renter)
-        joint = Joint(domain, self.renter, self._able, self._ties, http)
-        for part in subsystems.joined(office.settings, joint):
-            self.add(part)
-
-    def add(self, part: Part) -> None:
+        self.pipelines = Pipelines(self.book, self._on_job, self.queues.dues, self.queues.takes_s)
+        self.add_component(self.pipelines)
+        self.add_component(FailureTracker(office.token, office.clock))
+        self.add_component(self.scheduling)
+        self.add_component(self.renter)
+        joint = Joint(domain, self.renter, self._max_demand, self._holds_scarce_resource, http)
+        for part in subsystems.create_components(office.settings, joint):
+            self.add_component(part)
+
+    def add_component(self, part: Component) -> None:
         """Wire a subsystem in, before the term starts."""
-        self.parts.append(part)
-        self.book.kept += part.kept
-        self.scheduling.outer += part.gates
+        self.components.append(part)
+        self.book.kept += part.persisted_values
+        self.scheduling.component_constraints += part.start_constraints
 
     # -- life ---------------------------------------------------------------------
 
     def start(self) -> None:
-        self.tasks.append(asyncio.create_task(self._guard(self._run, True, lasting=False)))
+        self.tasks.append(asyncio.create_task(self._supervise(self._run, True, lasting=False)))
 
     def stop(self) -> None:
         self.ready = False
         for task in self.tasks:
             task.cancel()
-        for part in self.parts:
+        for part in self.components:
             part.stop()
 
     async def _run(self) -> None:
@@ -117,23 +119,23 @@
                 await asyncio.sleep(constants.STATE_PAUSE_S)
         writing = [self.writer.flush, *[self.writer.admit] * constants.ADMIT_LANES]
         self._spawn([self.book.watch, self.writer.watch, *writing], True)
-        for part in self.parts:
-            self._spawn(part.durable, True)
-            self._spawn(part.loops, False)
+        for part in self.components:
+            self._spawn(part.durable_loops, True)
+            self._spawn(part.decision_loops, False)
         if constants.HINTS_PEERS:
-            self._spawn([self._tell], False)
+            self._spawn([self._publish_hints], False)
 
-    async def _tell(self) -> None:
+    async def _publish_hints(self) -> None:
         """Tell those who would lead next what the record does not have."""
         while True:
             await asyncio.sleep(constants.HINTS_EVERY_S)
-            if self.live():
-                await self.succession.tell(gather(self.domain, self.renter))
+            if self.is_serving():
+                await self.hint_exchange.publish(gather_hints(self.domain, self.renter))
 
     def _spawn(self, loops: Iterable[Loop], fatal: bool) -> None:
-        self.tasks += [asyncio.create_task(self._guard(loop, fatal)) for loop in loops]
+        self.tasks += [asyncio.create_task(self._supervise(loop, fatal)) for loop in loops]
 
-    async def _guard(self, loop: Loop, fatal: bool, lasting: bool = True) -> None:
+    async def _supervise(self, loop: Loop, fatal: bool, lasting: bool = True) -> None:
         """A loop that meets a bug must not leave half a leader behind.
 
         What holds durable state is rebuilt under a new token; deciding where
@@ -163,25 +165,25 @@
         for attempt in await self.book.load():
             if attempt.job.aborted:
                 attempt.kill_at = self.clock.now()
-            self.fleet.hold(attempt)
-        for hints in self.succession.fresh(self.office.token, self.clock.wall()):
-            apply(hints, self.domain, self.renter)
+            self.fleet.attach_attempt(attempt)
+        for hints in self.hint_exchange.usable_hints(self.office.token, self.clock.wall()):
+            apply_hints(hints, self.domain, self.renter)
         self.ready = True
-        self.loaded.fire()
+        self.record_loaded.fire()
         live = sum(len(job.live) for job in self.jobs.values())
         log.info("term %d: %d jobs, %d live attempts", self.office.token, len(self.jobs), live)
-        for part in self.parts:
+        for part in self.components:
             part.start()
 
     # -- users --------------------------------------------------------------------
 
-    def live(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether this term may answer for the present."""
         return self.ready and self.leadership.acting()
 
-    def account(self, name: str) -> Account:
+    def job_account(self, name: str) -> Account:
         """A job's present state, and the keys of open commits that may have changed it."""
-        if not self.live():
+        if not self.is_serving():
             raise Unavailable
         job = self.jobs.get(name)
         keys = self.writer.fates.of(name)
@@ -196,13 +198,13 @@
             keys.append(JOB_PREFIX + name)
         return Account(None, keys)
 
-    def knows(self, name: str) -> bool:
+    def has_job(self, name: str) -> bool:
         """Whether a job is on record under this token."""
         return name in self.jobs or name in self.book.over
 
     async def submit(self, spec: JobSpec) -> bool:
         """Accept a job together with others; False when it is known already."""
-        if not self.live():
+        if not self.is_serving():
             raise Unavailable
         value = JobValue(spec, self.clock.wall())
         if spec.waitsOn is not None:
@@ -217,17 +219,20 @@
 
         One whose admission is open is waited for: others may have read that it is accepted.
         """
-        if not self.live():
+        if not self.is_serving():
             raise Unavailable
         deadline = self.clock.now() + constants.INTAKE_DEADLINE_S
         while name in self.book.admissions and name not in self.jobs:
-            if not await self.book.committed.wait(deadline - self.clock.now()) or not self.live():
+            if (
+                not await self.book.committed.wait(deadline - self.clock.now())
+                or not self.is_serving()
+            ):
                 raise Unavailable
         job = self.jobs.get(name)
         if job is None:
             return self.book.over.get(name)
         self.book.abort(job)
-        while self.live():
+        while self.is_serving():
             if job.aborted:
                 return "withdrawn"
             if name in self.book.over:
@@ -236,56 +241,58 @@
                 break
         raise Unavailable
 
-    def believe(self, told: set[str]) -> None:
+    def apply_reported_cancellations(self, told: set[str]) -> None:
         """Stop what others have told users is cancelled."""
-        for job in filter(None, map(self.jobs.get, told - self.believed)):
+        for job in filter(None, map(self.jobs.get, told - self.reported_cancelled)):
             job.told = True
             for attempt in job.live.values():
                 attempt.kill_at = attempt.kill_at or self.clock.now()
-        self.believed |= told
+        self.reported_cancelled |= told
 
-    def doubt(self) -> None:
+    def withdraw_reported_cancellations(self) -> None:
         """The record is ours again: only what it says is cancelled is so."""
-        for job in filter(None, map(self.jobs.get, self.believed)):
+        for job in filter(None, map(self.jobs.get, self.reported_cancelled)):
             job.told = False
-        self.believed.clear()
+        self.reported_cancelled.clear()
 
     # -- workers and what becomes of attempts ---------------------------------------
 
-    async def hello(self, report: Report, relayed: bool = False) -> tuple[int, dict[str, Any]]:
+    async def handle_report(
+        self, report: Report, relayed: bool = False
+    ) -> tuple[int, dict[str, Any]]:
         """Answer one report; one that another controller carries is held for less long."""
-        return await self.reports.hello(report, relayed)
+        return await self.reports.handle_report(report, relayed)
 
-    def _job_came(self, job: Job, fresh: bool) -> None:
-        for part in self.parts:
+    def _on_job(self, job: Job, fresh: bool) -> None:
+        for part in self.components:
             part.on_job(job, fresh)
 
-    def _took_in(self, machine: Machine, first: bool) -> None:
-        for part in self.parts:
+    def _on_report_accepted(self, machine: Machine, first: bool) -> None:
+        for part in self.components:
             part.on_report(machine, first)
 
-    def _ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
+    def _on_attempt_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
         """An attempt is over, as reported or since it is surely absent (no cause)."""
         if cause:
-            self.counts[cause] += 1
+            self.ended_by_cause[cause] += 1
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.office.token, attempt.job.name, attempt.machine, attempt.label)
             log.debug("%s on %s: %s", attempt.label, attempt.machine, cause or "gone", extra=what)
-        attempt.job.finish(attempt, cause == "done", cause in FAILED)
+        attempt.job.finish(attempt, cause == "done", cause in FAILURE_CAUSES)
         if machine is not None:
             machine.detach(attempt)
         self.book.progressed(attempt.job)
-        for gate in self.scheduling.outer:
-            gate.gave(attempt)
-        for part in self.parts:
+        for gate in self.scheduling.component_constraints:
+            gate.on_released(attempt)
+        for part in self.components:
             part.on_ended(machine, attempt, cause)
 
-    def _sweep(self) -> None:
+    def _expire_leases(self) -> None:
         """Find attempts that are surely gone because their machine has lost its lease."""
         for machine in self.fleet.machines.values():
-            if not machine.attempts or not self.fleet.lapsed(machine):
+            if not machine.attempts or not self.fleet.is_own_lease_over(machine):
                 continue
-            every = self.fleet.expired(machine)
+            every = self.fleet.is_lease_over(machine)
             lost = [a for a in machine.attempts.values() if every or a.decided]
             if lost:
                 log.info(
@@ -295,24 +302,26 @@
                     extra=about(self.office.token, machine=machine.name),
                 )
             for attempt in lost:
-                self._ended(machine, attempt, "")
+                self._on_attempt_ended(machine, attempt, "")
 
-    def _able(self, job: Job, count: int) -> int:
-        for gate in self.scheduling.outer:
-            count = gate.able(job, count)
+    def _max_demand(self, job: Job, count: int) -> int:
+        for gate in self.scheduling.component_constraints:
+            count = gate.max_demand(job, count)
         return count
 
-    def _ties(self, job: Job) -> bool:
-        return any(gate.ties(job) for gate in self.scheduling.outer)
+    def _holds_scarce_resource(self, job: Job) -> bool:
+        return any(
+            gate.holds_scarce_resource(job) for gate in self.scheduling.component_constraints
+        )
 
-    def _lost(self, attempt: Attempt) -> None:
+    def _on_attempt_lost(self, attempt: Attempt) -> None:
         """The attempt's machine is surely gone."""
-        self._ended(None, attempt, "")
+        self._on_attempt_ended(None, attempt, "")
 
     def samples(self) -> Iterable[Sample]:
         """Figures for /metrics."""
-        for part in self.parts:
+        for part in self.components:
             yield from part.samples()
         unwritable = len(self.writer.unwritable)
         yield gauge("unwritable_values", "Values over the state service's limit", unwritable)
-        yield by_label("attempts", "Ended attempts by cause", "cause", self.counts)
+        yield labelled_sample("attempts", "Ended attempts by cause", "cause", self.ended_by_cause)
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -3,6 +3,7 @@
 import random
 from collections.abc import Callable, Iterable
 
+from chalkgrade.extensions.components import Component, Sample, labelled_sample
 from chalkgrade.licences.needs import Needs
 from chalkgrade.licences.seats import SeatGate, Usable
 from chalkgrade.licences.settings import LicenceSettings
@@ -10,12 +11,11 @@
 from chalkgrade.outside import Http
 from chalkgrade.record.jobs import JobSpec
 from chalkgrade.renting.joint import Joint
-from chalkgrade.seams.parts import Part, Sample, by_label
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.state.office import Office
 
 
-class Licences(Part):
+class Licences(Component):
     """Counted licences of one term."""
 
     def __init__(
@@ -23,10 +23,10 @@
     ) -> None:
         self.needs = Needs(settings)
         self.gate = SeatGate(self.needs, queues, self.usable)
-        self.gates = [self.gate]
+        self.start_constraints = [self.gate]
         rng = random.Random(office.token)
         self.stocks = stocks(self.needs, office.token, http, office.clock, rng, self.wanted)
-        self.loops = [stock.run for stock in self.stocks.values()]
+        self.decision_loops = [stock.run for stock in self.stocks.values()]
 
     def usable(self, pool: str) -> Usable:
         """Without a server we alone count, and all seats are ours."""
@@ -49,10 +49,10 @@
             "foreign": ("Seats held by others", {p: s.foreign for p, s in self.stocks.items()}),
         }
         for name, (text, values) in figures.items():
-            yield by_label(f"licence_{name}", text, "pool", values, counter=False)
+            yield labelled_sample(f"licence_{name}", text, "pool", values, counter=False)
         fresh = {pool: int(found.fresh) for pool, found in usable.items()}
         what = "1 while a pool's server answers"
-        yield by_label("licence_fresh", what, "pool", fresh, counter=False)
+        yield labelled_sample("licence_fresh", what, "pool", fresh, counter=False)
 
 
 def join(own: LicenceSettings, joint: Joint) -> Licences:
--- a/src/chalkgrade/licences/seats.py
+++ b/src/chalkgrade/licences/seats.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import Preemption, StartConstraint
 from chalkgrade.licences.needs import Needs, Seats
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gate, Stops
 from chalkgrade.sharing.queues import Queues
 
 SEAT = "no licence seat"
@@ -36,7 +36,7 @@
     return max(1, len(job.waiting)) if job.spec.shape == "gang" else 1
 
 
-class SeatGate(Gate):
+class SeatGate(StartConstraint):
     """All seats of a task's pools, or none of them."""
 
     def __init__(self, needs: Needs, queues: Queues, usable: Callable[[str], Usable]) -> None:
@@ -61,7 +61,7 @@
 
     # -- what is taken --------------------------------------------------------------
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._now = now
         self.used = dict.fromkeys(self.needs.pools, 0)
         self.waiting = dict.fromkeys(self.needs.pools, 0)
@@ -87,7 +87,7 @@
         self._allot(asking)
         self._take_back()
 
-    def gave(self, attempt: Attempt) -> None:
+    def on_released(self, attempt: Attempt) -> None:
         self._stops.pop(attempt, None)
 
     # -- who gets what is free ------------------------------------------------------
@@ -204,15 +204,15 @@
             for pool, seats in self._mine[job]
         )
 
-    def ready(self, job: Job) -> bool:
+    def is_ready(self, job: Job) -> bool:
         """What has no seat, and nobody to take one from, costs the round nothing further."""
-        if job not in self._mine or self.most(job, 1):
+        if job not in self._mine or self.max_starts(job, 1):
             return True
         return self._stoppable(job)
 
     # -- what a round asks ------------------------------------------------------------
 
-    def most(self, job: Job, count: int) -> int:
+    def max_starts(self, job: Job, count: int) -> int:
         needs = self._mine.get(job)
         if needs is None:
             return count
@@ -222,16 +222,16 @@
             return count
         return min(count, own + min(max(0, self._open[pool]) // seats for pool, seats in needs))
 
-    def ties(self, job: Job) -> bool:
+    def holds_scarce_resource(self, job: Job) -> bool:
         return bool(self.needs.of(job.spec))
 
-    def able(self, job: Job, count: int) -> int:
+    def max_demand(self, job: Job, count: int) -> int:
         if job in self._mine:
             return min(count, self._allotted.get(job, 0))
         # Since the last round, nothing is rented for it before the next.
         return 0 if self.needs.of(job.spec) else count
 
-    def took(self, job: Job, site: str) -> None:
+    def on_placed(self, job: Job, site: str) -> None:
         needs = self._mine.get(job)
         if needs is None:
             return
@@ -246,9 +246,9 @@
             if not by_right:
                 self._open[pool] -= seats
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         needs = self._mine.get(job)
-        if needs is None or self.most(job, 1):
+        if needs is None or self.max_starts(job, 1):
             return ""
         if any(not self.usable(pool).fresh for pool, _ in needs):
             return SERVER
@@ -256,7 +256,7 @@
 
     # -- urgent work ------------------------------------------------------------------
 
-    def make_way(self, job: Job, stops: Stops) -> None:
+    def preempt_for(self, job: Job, stops: Preemption) -> None:
         """Stop less urgent work that holds what an urgent job lacks, as room is made.
 
         Only where all its pools can be had that way, and not for seats that come free
@@ -283,15 +283,15 @@
                     ends = attempt.kill_at is not None or attempt in chosen
                     if ends or self.queues.left_s(attempt, self._now) <= late:
                         missing -= held
-                    elif stops.may_stop(attempt, job):
-                        loss = stops.loss(attempt)
+                    elif stops.may_preempt(attempt, job):
+                        loss = stops.preemption_loss(attempt)
                         entry = (holder.spec.rank, loss, attempt.label, attempt, held)
                         offers.append(entry)
             offers.sort(key=lambda offer: offer[:3])
             for _, loss, _, attempt, held in offers:
                 if missing <= 0:
                     break
-                if loss <= stops.worth(job):
+                if loss <= stops.max_preemption_loss(job):
                     chosen[attempt] = None
                     missing -= held
             if missing > seats * (tasks - _unit(job)):
--- a/src/chalkgrade/machines/kinds.py
+++ b/src/chalkgrade/machines/flavors.py
@@ -6,7 +6,7 @@
 from chalkgrade.record.jobs import JobSpec
 
 Pool = tuple[str, str, bool]  # type, zone, spot
-BOTH = (True, False)  # spot and ordinary
+SPOT_OPTIONS = (True, False)  # spot and ordinary
 
 
 class Flavor(msgspec.Struct):
@@ -26,7 +26,7 @@
         return self.vcpus, self.gpus, self.memoryGb
 
 
-def per_machine(spec: JobSpec, flavor: Flavor) -> int:
+def tasks_per_machine(spec: JobSpec, flavor: Flavor) -> int:
     """How many tasks of that shape fit an empty machine."""
     counts = [
         int((has + 1e-9) // needs)
@@ -45,7 +45,7 @@
     hosttypes: list[Flavor]
 
 
-def kept_flavors(flavors: dict[str, Flavor]) -> Kept:
+def persisted_flavors(flavors: dict[str, Flavor]) -> Kept:
     """The machine types as a value that outlives the leader; what is known already stays."""
 
     def load(raw: bytes) -> None:
--- a/src/chalkgrade/machines/fleet.py
+++ b/src/chalkgrade/machines/fleet.py
@@ -21,7 +21,7 @@
 
 from chalkgrade import constants
 from chalkgrade.latest import Latest
-from chalkgrade.machines.hearing import Hearing
+from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.outside import Clock, Signal
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.vectors import ZERO, Vector, minus, plus
@@ -61,34 +61,36 @@
         self.known_at = now
         self.tenure = 0
         self.seq = 0
-        self.baton = 0
+        self.token = 0
         self.reported_at: float | None = None  # when its newest report came
-        self.misread = False  # it refused a task that should have fitted
-        self.hired = False  # rented under this token, so that its boot is seen whole
+        self.capacity_misreported = False  # it refused a task that should have fitted
+        self.rented_this_term = False  # rented under this token, so that its boot is seen whole
         self.answered_at: float | None = None  # when we last may have renewed its lease
-        self.hearing = Hearing()  # whether what we answer reaches it
+        self.response_tracker = ResponseTracker()  # whether what we answer reaches it
         self.tasks: dict[tuple[str, int], TaskReport] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.used: Vector = ZERO  # what the attempts of the book take
-        self.given = Signal()  # work was decided for it
-        self.open = 0  # reports that wait for their answer: what is decided now goes at once
-        self.warned = False
+        self.work_assigned = Signal()  # work was decided for it
+        self.open_reports = (
+            0  # reports that wait for their answer: what is decided now goes at once
+        )
+        self.has_termination_notice = False
         self.listed_at: float | None = None  # when a list that names it was first asked for
         self.status = ""
-        self.born = now  # about when it was rented
+        self.rented_at = now  # about when it was rented
         self.images: dict[str, float] = {}  # image -> when it was last used
         self.image_gb: dict[str, float] = {}
-        self.failed: dict[Job, int] = {}  # failed attempts by job, since the last success
+        self.failures_by_job: dict[Job, int] = {}  # failed attempts by job, since the last success
         self.failed_at = now  # when a task last failed on it; before our term it may have
-        self.silent_from: float | None = None  # as the last leader said, until it reports
+        self.silent_since: float | None = None  # as the last leader said, until it reports
         self.releasing = False
         self.busy_at = now  # when it last had work
-        self.drains = ("", now)  # the queue for whose wide tasks it was last kept, and when
+        self.kept_for_queue = ("", now)  # the queue for whose wide tasks it was last kept, and when
 
     def attach(self, attempt: Attempt) -> None:
         """An attempt of the book may be here from now on."""
         self.attempts[attempt.name, attempt.number] = attempt
-        self.given.fire()
+        self.work_assigned.fire()
         self.used = plus(self.used, attempt.job.spec.room)
 
     def detach(self, attempt: Attempt) -> None:
@@ -107,14 +109,14 @@
         faulty itself, and no machine is blamed for it, however many of its tasks
         it had. A single job that failed only here leaves both open.
         """
-        if not self.failed:
+        if not self.failures_by_job:
             return 0  # the usual case, asked of every machine in every round and plan
         return sum(
             count if job.proven else 0 if len(job.failed_on) >= constants.FAULTY_MACHINES else 1
-            for job, count in self.failed.items()
+            for job, count in self.failures_by_job.items()
         )
 
-    def strangers(self) -> list[TaskReport]:
+    def unknown_tasks(self) -> list[TaskReport]:
         """Reported tasks that are not over and that the book does not put here."""
         if self.tasks.keys() <= self.attempts.keys():
             return []  # the usual case, and every round asks every machine
@@ -138,7 +140,7 @@
         # Surely gone: old reports and lists must not revive them.
         self.gone = Latest[str, None](constants.GONE_KEPT)
 
-    def machine(self, name: str, hosttype: str, site: str, standby: bool) -> Machine:
+    def get_or_add(self, name: str, hosttype: str, site: str, standby: bool) -> Machine:
         """The machine of that name, made known if it was not."""
         machine = self.machines.get(name)
         if machine is None:
@@ -148,38 +150,40 @@
             machine.hosttype, machine.site, machine.standby = hosttype, site, standby
         return machine
 
-    def hold(self, attempt: Attempt) -> None:
+    def attach_attempt(self, attempt: Attempt) -> None:
         """Put an attempt on its machine, which may be known only by that."""
-        machine = self.machine(attempt.machine, "", "", False)
+        machine = self.get_or_add(attempt.machine, "", "", False)
         machine.attach(attempt)
 
-    def take(self, report: Report) -> Machine | None:
+    def accept_report(self, report: Report) -> Machine | None:
         """Take in a report; None when it is older than what is known, or from the dead."""
         if report.host in self.gone:
             return None
-        machine = self.machine(report.host, report.hosttype, report.site, report.standby)
+        machine = self.get_or_add(report.host, report.hosttype, report.site, report.standby)
         if (report.tenure, report.seq) <= (machine.tenure, machine.seq):
             return None
         launched = {(entry.task, entry.number) for entry in report.tasks}
         now, lease_s = self._clock.now(), self.lease_s
         key = (report.tenure, report.seq)
-        machine.hearing.reported(key, report.baton >= self.token, launched, now, lease_s)
-        machine.tenure, machine.seq, machine.baton = report.tenure, report.seq, report.baton
+        machine.response_tracker.on_report(key, report.baton >= self.token, launched, now, lease_s)
+        machine.tenure, machine.seq, machine.token = report.tenure, report.seq, report.baton
         machine.reported_at = now
-        machine.silent_from = None
-        machine.misread = False
-        machine.warned = machine.warned or report.warningS is not None
+        machine.silent_since = None
+        machine.capacity_misreported = False
+        machine.has_termination_notice = (
+            machine.has_termination_notice or report.warningS is not None
+        )
         machine.tasks = {(entry.task, entry.number): entry for entry in report.tasks}
         return machine
 
-    def current(self, machine: Machine) -> bool:
+    def has_seen_token(self, machine: Machine) -> bool:
         """Whether its newest report was surely written in our term: it shows our token.
 
         No earlier leader's order can be executed there any more, and it hears us.
         """
-        return machine.baton == self.token
+        return machine.token == self.token
 
-    def over(self, machine: Machine, attempt: Attempt, cause: str) -> bool:
+    def is_surely_ended(self, machine: Machine, attempt: Attempt, cause: str) -> bool:
         """Whether an attempt of the book that a report lists as ended is surely over.
 
         What is done stays done. Any other end lasts as long as the worker's session: if it
@@ -187,9 +191,9 @@
         same number, into the next session, and a copy from the first may reach us before that
         session's own reports do. Of what we decided, older sessions know nothing.
         """
-        return cause == "done" or bool(attempt.decided) or self.current(machine)
+        return cause == "done" or bool(attempt.decided) or self.has_seen_token(machine)
 
-    def absent(self, machine: Machine, attempt: Attempt) -> bool:
+    def is_surely_absent(self, machine: Machine, attempt: Attempt) -> bool:
         """Whether an attempt of the book is surely not on its machine.
 
         Holds when the newest report was made under our own token, does not list
@@ -202,19 +206,19 @@
         """
         if (attempt.name, attempt.number) in machine.tasks:
             return False
-        if not self.current(machine) and not attempt.decided:
+        if not self.has_seen_token(machine) and not attempt.decided:
             return False
         return attempt.sent is None or attempt.sent < (machine.tenure, machine.seq)
 
-    def expired(self, machine: Machine) -> bool:
+    def is_lease_over(self, machine: Machine) -> bool:
         """Whether a silent machine's lease has surely ended.
 
         Only for machines that have seen our token: others may be kept alive by
         an earlier leader that we can't see.
         """
-        return self.current(machine) and self.lapsed(machine)
+        return self.has_seen_token(machine) and self.is_own_lease_over(machine)
 
-    def lapsed(self, machine: Machine) -> bool:
+    def is_own_lease_over(self, machine: Machine) -> bool:
         """Whether no answer of ours can have kept a task there alive.
 
         Whatever an earlier leader may keep alive: an attempt that we decided is surely
@@ -232,10 +236,10 @@
         there is in the book and has its room, and new work is nowhere else. Only absence
         needs a report under our own token.
         """
-        heard = machine.reported_at is not None and not machine.misread
-        return heard and not self.doubtful(machine) and self.hopeful(machine)
+        heard = machine.reported_at is not None and not machine.capacity_misreported
+        return heard and not self.is_unconfirmed(machine) and self.is_in_service(machine)
 
-    def doubtful(self, machine: Machine) -> bool:
+    def is_unconfirmed(self, machine: Machine) -> bool:
         """Whether all that is known of it may be a late copy of a report.
 
         A machine of earlier days that was returned or taken meanwhile is in no list any
@@ -243,28 +247,32 @@
         new leader, however many come. One that is there is listed, was rented by us, or
         shows our token with its next report, half a second later.
         """
-        return machine.listed_at is None and not machine.hired and not self.current(machine)
+        return (
+            machine.listed_at is None
+            and not machine.rented_this_term
+            and not self.has_seen_token(machine)
+        )
 
-    def hopeful(self, machine: Machine) -> bool:
+    def is_in_service(self, machine: Machine) -> bool:
         """Whether a machine serves, or will once it is up: not going, sick or silent."""
         return (
             not machine.releasing
-            and not machine.warned
+            and not machine.has_termination_notice
             and machine.failures < constants.SUSPECT_FAILURES
-            and not machine.hearing.deaf
+            and not machine.response_tracker.responses_lost
             and (
                 machine.reported_at is None
                 or self._clock.now() - machine.reported_at < self.silent_s
             )
         )
 
-    def delay_s(self, machine: Machine) -> float:
+    def launch_delay_s(self, machine: Machine) -> float:
         """How long a launch for it has to wait for a report that it can go with."""
-        if machine.open or machine.reported_at is None:
+        if machine.open_reports or machine.reported_at is None:
             return 0.0
         return max(0.0, self.report_s - (self._clock.now() - machine.reported_at))
 
-    def drop(self, machine: Machine) -> list[Attempt]:
+    def remove_machine(self, machine: Machine) -> list[Attempt]:
         """A machine is surely gone; returns the attempts that went with it."""
         self.gone[machine.name] = None
         self.machines.pop(machine.name, None)
@@ -273,7 +281,7 @@
         return lost
 
 
-def orders(
+def build_orders(
     machine: Machine, forgettable: Iterable[tuple[str, int]], clock: Clock, launches: bool
 ) -> list[dict[str, Any]]:
     """The difference between the book and the last report of a machine."""
@@ -303,6 +311,6 @@
             if attempt.job.cancelled or not attempt.durable:
                 continue
             attempt.sent = (machine.tenure, machine.seq)
-            machine.hearing.launched.add((task, number))
+            machine.response_tracker.launch_orders_sent.add((task, number))
             out.append({"order": "launch", "task": task, "try": number})
     return out
--- a/src/chalkgrade/machines/placement.py
+++ b/src/chalkgrade/machines/placement.py
@@ -24,11 +24,11 @@
     owner: str
     rank: int
     room: Vector
-    left_s: float  # until it ends by itself, or is saved if it was told to stop
-    lost: float  # CPU-seconds of work that stopping it now would lose
+    remaining_s: float  # until it ends by itself, or is saved if it was told to stop
+    loss_cpu_s: float  # CPU-seconds of work that stopping it now would lose
     stopping: bool = False
-    saves: bool = False  # what it has done lasts when it is stopped
-    guarded: bool = False  # more urgent work does not stop it
+    can_save: bool = False  # what it has done lasts when it is stopped
+    is_protected: bool = False  # more urgent work does not stop it
 
 
 @dataclass
@@ -43,33 +43,33 @@
     total: Vector
     images: set[str] = field(default_factory=set)
     pull_gb_s: float = 1.0
-    strain: int = 0  # failures of late; the healthiest machine is taken first
+    recent_failures: int = 0  # failures of late; the healthiest machine is taken first
     fetching: set[str] = field(default_factory=set)
-    delay_s: float = 0.0  # until a launch can be sent there
-    look: Callable[[], list[Occupant]] = list  # asked only where room is to be made
-    kept_for: str = ""  # the job that room is kept for, and how much: the rest is free for all
-    kept: Vector = (0.0, 0.0, 0.0)
-    touched: bool = False  # something was placed here in this round
-    seen: list[Occupant] | None = None
+    launch_delay_s: float = 0.0  # until a launch can be sent there
+    load_occupants: Callable[[], list[Occupant]] = list  # asked only where room is to be made
+    reserved_for: str = ""  # the job that room is kept for, and how much: the rest is free for all
+    reserved: Vector = (0.0, 0.0, 0.0)
+    was_placed_on: bool = False  # something was placed here in this round
+    loaded_occupants: list[Occupant] | None = None
 
     def room_for(self, job: str) -> Vector:
         """What a job may use of it."""
-        if not self.kept_for or self.kept_for == job:
+        if not self.reserved_for or self.reserved_for == job:
             return self.free
-        return minus(self.free, self.kept)
+        return minus(self.free, self.reserved)
 
-    def knows(self, bundle: str) -> bool:
+    def has_or_fetches(self, bundle: str) -> bool:
         """Whether an image is there, or on its way."""
         return bundle in self.images or bundle in self.fetching
 
     @property
     def occupants(self) -> list[Occupant]:
-        if self.seen is None:
-            self.seen = self.look()
-        return self.seen
+        if self.loaded_occupants is None:
+            self.loaded_occupants = self.load_occupants()
+        return self.loaded_occupants
 
 
-def allowed(spec: JobSpec, hosttype: str, site: str, standby: bool) -> bool:
+def may_use_machine(spec: JobSpec, hosttype: str, site: str, standby: bool) -> bool:
     """Whether a job may use that kind of machine at all."""
     if spec.hosttypes is not None and hosttype not in spec.hosttypes:
         return False
@@ -78,7 +78,7 @@
     return spec.standby or not standby
 
 
-def zones_open(spec: JobSpec, held: dict[str, int], zones: Iterable[str]) -> set[str]:
+def eligible_zones(spec: JobSpec, held: dict[str, int], zones: Iterable[str]) -> set[str]:
     """Zones where one more task may go, given where the others may be."""
     used = {zone for zone, count in held.items() if count}
     out = set(zones)
@@ -91,7 +91,7 @@
     return out
 
 
-def fetch_s(spec: JobSpec, slot: Slot) -> float:
+def image_fetch_s(spec: JobSpec, slot: Slot) -> float:
     """Seconds until the image is there."""
     if not spec.pullGb or spec.bundle in slot.images:
         return 0.0
@@ -100,18 +100,18 @@
     return whole * 0.5 if spec.bundle in slot.fetching else whole * (1 + len(slot.fetching))
 
 
-def crowded(spec: JobSpec, slot: Slot) -> bool:
+def is_fetch_congested(spec: JobSpec, slot: Slot) -> bool:
     """Whether other images are being fetched there, so that one more takes too long.
 
     Fetches share a machine's rate: each of four takes four times as long, and
     all the CPUs that wait for them stand idle.
     """
-    if not spec.pullGb or not slot.fetching or slot.knows(spec.bundle):
+    if not spec.pullGb or not slot.fetching or slot.has_or_fetches(spec.bundle):
         return False
-    return fetch_s(spec, slot) > constants.FETCH_PATIENCE_S
+    return image_fetch_s(spec, slot) > constants.FETCH_PATIENCE_S
 
 
-def choose(
+def choose_slot(
     spec: JobSpec,
     slots: Iterable[Slot],
     zones: set[str],
@@ -127,17 +127,17 @@
             continue
         if not fits(spec.room, slot.free) or not opens(slot):
             continue
-        if crowded(spec, slot):
+        if is_fetch_congested(spec, slot):
             continue
-        if not allowed(spec, slot.hosttype, slot.site, slot.standby):
+        if not may_use_machine(spec, slot.hosttype, slot.site, slot.standby):
             continue
-        key = rank(spec, slot)
+        key = placement_key(spec, slot)
         if best is None or key < best_key:
             best, best_key = slot, key
     return best
 
 
-class Picker:
+class SlotPicker:
     """The best machines for tasks that are alike, one after the other.
 
     The same choices as `choose` before each task. Slots are looked at once and
@@ -162,18 +162,18 @@
                 continue
             kind = (slot.hosttype, slot.site, slot.standby)
             if kind not in may:
-                may[kind] = allowed(spec, *kind)
+                may[kind] = may_use_machine(spec, *kind)
             if may[kind]:
-                self._heap.append((rank(spec, slot), number, slot))
+                self._heap.append((placement_key(spec, slot), number, slot))
         heapq.heapify(self._heap)
 
     def _open(self, slot: Slot) -> bool:
         spec = self._spec
-        if not fits(spec.room, slot.free) or crowded(spec, slot):
+        if not fits(spec.room, slot.free) or is_fetch_congested(spec, slot):
             return False
-        return not (self._local and spec.pullGb and not slot.knows(spec.bundle))
+        return not (self._local and spec.pullGb and not slot.has_or_fetches(spec.bundle))
 
-    def take(self, opens: Callable[[Slot], bool], zones: set[str]) -> Slot | None:
+    def take_best(self, opens: Callable[[Slot], bool], zones: set[str]) -> Slot | None:
         """The best slot for a job within the zones now open to it; its room is taken."""
         kept: list[tuple[tuple[float, ...], int, Slot]] = []
         found: Slot | None = None
@@ -183,20 +183,20 @@
             if not self._open(slot) or slot.site not in zones:
                 heapq.heappop(self._heap)
                 continue
-            now = rank(self._spec, slot)
+            now = placement_key(self._spec, slot)
             if now != held:
                 heapq.heapreplace(self._heap, (now, number, slot))
             elif not opens(slot):
                 kept.append(heapq.heappop(self._heap))  # closed to this job, not to all
             else:
-                occupy(slot, self._spec)
+                occupy_slot(slot, self._spec)
                 found = slot
         for entry in kept:
             heapq.heappush(self._heap, entry)
         return found
 
 
-def rank(spec: JobSpec, slot: Slot) -> tuple[float, ...]:
+def placement_key(spec: JobSpec, slot: Slot) -> tuple[float, ...]:
     """What makes one machine better than another for a task: the least wins.
 
     The time to a machine's next report counts in steps: within one the tightest
@@ -205,10 +205,14 @@
     """
     left = (slot.free[0] - spec.vcpus) / max(slot.total[0], 1e-9)
     step = constants.SOON_STEP_S
-    return slot.strain, fetch_s(spec, slot) + slot.delay_s // step * step, left
+    return (
+        slot.recent_failures,
+        image_fetch_s(spec, slot) + slot.launch_delay_s // step * step,
+        left,
+    )
 
 
-def choose_all(
+def choose_gang_slots(
     spec: JobSpec,
     count: int,
     slots: list[Slot],
@@ -225,10 +229,12 @@
     for option in options:
         found, zones = [], dict(held)
         while len(found) < count:
-            slot = choose(spec, slots, zones_open(spec, zones, option) & option, avoid, opens)
+            slot = choose_slot(
+                spec, slots, eligible_zones(spec, zones, option) & option, avoid, opens
+            )
             if slot is None:
                 break
-            occupy(slot, spec)
+            occupy_slot(slot, spec)
             zones[slot.site] = zones.get(slot.site, 0) + 1
             found.append(slot)
         for slot, free, fetching in before:
@@ -238,27 +244,27 @@
     return None
 
 
-def occupy(slot: Slot, spec: JobSpec) -> None:
+def occupy_slot(slot: Slot, spec: JobSpec) -> None:
     """Take a task's room from a slot."""
     slot.free = minus(slot.free, spec.room)
-    slot.touched = True
+    slot.was_placed_on = True
     if spec.bundle not in slot.images:
         slot.fetching.add(spec.bundle)
 
 
-def wait_s(spec: JobSpec, slot: Slot) -> float:
+def room_wait_s(spec: JobSpec, slot: Slot) -> float:
     """Seconds until the slot has room for one task, if nothing else is placed there."""
     free = slot.free
     if fits(spec.room, free):
         return 0.0
-    for occupant in sorted(slot.occupants, key=lambda o: o.left_s):
+    for occupant in sorted(slot.occupants, key=lambda o: o.remaining_s):
         free = plus(free, occupant.room)
         if fits(spec.room, free):
-            return occupant.left_s
+            return occupant.remaining_s
     return float("inf")
 
 
-class Offers:
+class PreemptionOffers:
     """Where room can be made for one shape of work, the least loss first.
 
     Every slot is looked at once; an offer is worked out again only when it is
@@ -286,9 +292,9 @@
 
     def _found(self, slot: Slot) -> list[Occupant] | None:
         excess = None if self._excess is None else dict(self._excess)
-        return victims(self._spec, slot, self._own, excess, *self._only)
+        return select_victims(self._spec, slot, self._own, excess, *self._only)
 
-    def take(
+    def take_cheapest(
         self, open_slot: Callable[[Slot], bool], most: float
     ) -> tuple[Slot, list[Occupant]] | None:
         """The cheapest offer on a slot open to the asker that loses at most so much a task.
@@ -310,18 +316,18 @@
             if _loss(found) > lost:
                 heapq.heappush(self._heap, (_loss(found), name, slot))
                 continue
-            gained = tasks_in(self._spec, slot, found) if self._only[1] else 1
+            gained = tasks_fitting_after(self._spec, slot, found) if self._only[1] else 1
             if lost > most * gained:
                 kept.append(entry)
                 break
-            found = victims(self._spec, slot, self._own, self._excess, *self._only)
+            found = select_victims(self._spec, slot, self._own, self._excess, *self._only)
             taken = slot, found or []
         for entry in kept:
             heapq.heappush(self._heap, entry)
         return taken
 
 
-def tasks_in(spec: JobSpec, slot: Slot, stopped: list[Occupant]) -> int:
+def tasks_fitting_after(spec: JobSpec, slot: Slot, stopped: list[Occupant]) -> int:
     """How many tasks of a job find room on a machine once these have stopped; at least one."""
     free = slot.free
     for occupant in stopped:
@@ -331,10 +337,10 @@
 
 
 def _loss(found: list[Occupant]) -> float:
-    return sum(victim.lost for victim in found)
+    return sum(victim.loss_cpu_s for victim in found)
 
 
-def victims(
+def select_victims(
     spec: JobSpec,
     slot: Slot,
     own: bool,
@@ -357,12 +363,12 @@
         if occupant.stopping:
             free = plus(free, occupant.room)
     out: list[Occupant] = []
-    for occupant in sorted(slot.occupants, key=lambda o: (o.rank, o.lost)):
+    for occupant in sorted(slot.occupants, key=lambda o: (o.rank, o.loss_cpu_s)):
         if fits(spec.room, free):
             break
         if own and occupant.owner != spec.owner:
             continue
-        if occupant.stopping or (savers_only and not occupant.saves):
+        if occupant.stopping or (savers_only and not occupant.can_save):
             continue
         over = (excess or {}).get(occupant.owner)
         borrowed = (
@@ -370,7 +376,7 @@
         )
         if borrowed and excess is not None and over is not None:
             excess[occupant.owner] = minus(over, occupant.room[:2])
-        lower = occupant.rank < spec.rank and not occupant.guarded
+        lower = occupant.rank < spec.rank and not occupant.is_protected
         if borrowed or (lower and not borrowed_only):
             free = plus(free, occupant.room)
             out.append(occupant)
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -14,10 +14,12 @@
 import msgspec
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
+from chalkgrade.extensions.constraints import StartConstraint
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import BOTH, Pool, per_machine
-from chalkgrade.machines.placement import Slot, allowed, wait_s
+from chalkgrade.machines.placement import Slot, may_use_machine, room_wait_s
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.outside import Bucket
@@ -25,8 +27,6 @@
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, by_label, gauge
 from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.floor import Floor
 from chalkgrade.sharing.gates import Maxima
@@ -65,14 +65,14 @@
     homes: list[MoveRecord] = []
 
 
-class MoveGate(Gate):
+class MoveGate(StartConstraint):
     """Keeps freed room for its large job, and targets for the tasks that come."""
 
     def __init__(self, part: "Moves") -> None:
         self._part = part
         self.kept: dict[str, list[tuple[str, Vector]]] = {}
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.kept = {}
         book = self._part.book.jobs
         for plan in self._part.value.plans:
@@ -91,20 +91,20 @@
                 free = minus(free, room)
         return free
 
-    def opens(self, job: Job, slot: Slot) -> bool:
+    def allows_slot(self, job: Job, slot: Slot) -> bool:
         return slot.name not in self.kept or fits(job.spec.room, self.left(job, slot))
 
-    def first(self) -> Iterable[tuple[Job, int, str]]:
+    def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
         """Stopped tasks start at their targets before anything else is placed."""
         for move in self._part.unsettled():
             if move.home_until:
                 yield self._part.book.jobs[move.job], move.index, move.target
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         return WAITING if any(plan.job == job.name for plan in self._part.value.plans) else ""
 
 
-class Moves(Part):
+class Moves(Component):
     """Plans and carries out moves under one token."""
 
     find = staticmethod(plan_many)  # the planner
@@ -127,10 +127,10 @@
         self.fleet = domain.fleet
         self.value = MovesValue()
         self.record = Kept(MOVES_KEY, self._load, lambda: self.value)
-        self.kept = [self.record]
+        self.persisted_values = [self.record]
         self.gate = MoveGate(self)
-        self.gates = [self.gate]
-        self.loops = [self.run]
+        self.start_constraints = [self.gate]
+        self.decision_loops = [self.run]
         self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
         rate = settings.per_minute / 60
         self.budget = Bucket(self.clock, rate, settings.per_minute)
@@ -217,7 +217,7 @@
         names = [plan.host, *(m.target for m in plan.moves if self._at_source(m) is not None)]
         for name in names:
             machine = self.fleet.machines.get(name)
-            if machine is None or not self.fleet.hopeful(machine):
+            if machine is None or not self.fleet.is_in_service(machine):
                 return "machine lost"
         return ""
 
@@ -290,8 +290,8 @@
         count = len(job.waiting) if spec.shape == "gang" else 1
         teams = self.domain.office.settings.cluster.teams
         maxima = Maxima({team.name: team for team in teams}, self.domain.queues)
-        maxima.begin(self.book.jobs.values(), self.clock.now())
-        if not maxima.ready(job) or maxima.most(job, count) < count:
+        maxima.begin_round(self.book.jobs.values(), self.clock.now())
+        if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
             return
         # Less urgent work takes what it finds; nothing is kept open for it.
         mates = (j.spec for j in jobs if j.spec.rank >= spec.rank)
@@ -305,7 +305,7 @@
         if not found:
             return
         took = max(self._takes_s(plan) for plan in found)
-        instead = min(min(wait_s(spec, slot) for slot in fitting), self._rent_s(job))
+        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rent_s(job))
         cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
         gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
         if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
@@ -315,7 +315,7 @@
     def _suits(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
         pool = (slot.hosttype, slot.site, slot.standby)
-        return allowed(spec, *pool) and fits(spec.room, slot.total)
+        return may_use_machine(spec, *pool) and fits(spec.room, slot.total)
 
     def _rent_s(self, job: Job) -> float:
         """How long until a rented machine could start it; infinite where none is coming.
@@ -329,8 +329,8 @@
             if machine.reported_at is not None or machine.releasing or flavor is None:
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
-            if allowed(job.spec, *pool) and per_machine(job.spec, flavor) >= 1:
-                left = self.renter.boots.left(pool, flavor.bootS, now - machine.born)
+            if may_use_machine(job.spec, *pool) and tasks_per_machine(job.spec, flavor) >= 1:
+                left = self.renter.boots.left(pool, flavor.bootS, now - machine.rented_at)
                 best = min(best, left if left is not None else float("inf"))
         return best
 
@@ -383,8 +383,8 @@
             (flavor.sku, site, spot)
             for flavor in self.domain.flavors.values()
             for site in flavor.sites
-            for spot in BOTH
-            if allowed(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
+            for spot in SPOT_OPTIONS
+            if may_use_machine(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
         }
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
@@ -416,8 +416,8 @@
 
     def samples(self) -> Iterable[Sample]:
         yield gauge("moves_plans_open", "Plans under way", len(self.value.plans))
-        yield by_label("moves_plans", "Plans by what came of them", "outcome", self.plans)
-        yield by_label("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
+        yield labelled_sample("moves_plans", "Plans by what came of them", "outcome", self.plans)
+        yield labelled_sample("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
 
 
 def join(own: MoveSettings, joint: Joint) -> Moves:
--- a/src/chalkgrade/moves/plan.py
+++ b/src/chalkgrade/moves/plan.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import Pool
+from chalkgrade.machines.flavors import Pool
 from chalkgrade.vectors import EPS, Vector, fits, minus, plus
 
 
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
+from chalkgrade.extensions.constraints import StartConstraint
 from chalkgrade.logs import about
 from chalkgrade.outside import NoAnswer
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.slack import inherit
 from chalkgrade.record.book import Book
 from chalkgrade.record.jobs import END_PREFIX, EndValue, Job
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, by_label, gauge
 from chalkgrade.state.ledger import NotExecuted, Rejected
 
 log = logging.getLogger("chalkgrade.pipelines")
@@ -24,26 +24,26 @@
 WAITS = "waiting for other jobs"
 
 
-class _Ready(Gate):
+class _Ready(StartConstraint):
     """Asked by every round: nothing starts that waits for others, and all know how urgent it is."""
 
     def __init__(self, part: "Pipelines") -> None:
         self._part = part
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._part.rank()
 
-    def ready(self, job: Job) -> bool:
+    def is_ready(self, job: Job) -> bool:
         return not job.held
 
-    def able(self, job: Job, count: int) -> int:
+    def max_demand(self, job: Job, count: int) -> int:
         return 0 if job.held else count
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         return WAITS if job.held else ""
 
 
-class Pipelines(Part):
+class Pipelines(Component):
     """The graph of one term, and what follows from it."""
 
     def __init__(
@@ -60,8 +60,8 @@
         self.dues = dues
         self.takes = takes
         self.graph = Graph(book.jobs, book.over, self._released, self._cancelled)
-        self.gates = [_Ready(self)]
-        self.loops = [self._look_up]
+        self.start_constraints = [_Ready(self)]
+        self.decision_loops = [self._look_up]
         self.started = False
         self.fresh: set[str] = set()  # submitted under this token, and held
         self.changed = False  # what jobs inherit is to be worked out anew
@@ -172,11 +172,13 @@
     def samples(self) -> Iterable[Sample]:
         jobs = self.book.jobs.values()
         held = Counter(job.spec.jobclass for job in jobs if job.held)
-        yield by_label("jobs_held", "Jobs that wait for others", "class", held, counter=False)
+        yield labelled_sample(
+            "jobs_held", "Jobs that wait for others", "class", held, counter=False
+        )
         text = "Named jobs whose end is being read"
         yield gauge("jobs_looked_up", text, len(self.graph.unknown))
         text = "Jobs let go, or cancelled with others"
-        yield by_label("pipeline_jobs", text, "what", self.counts)
+        yield labelled_sample("pipeline_jobs", text, "what", self.counts)
         now = self.clock.wall()
         slack = min((job.due_at[0] - now for job in jobs if job.due_at), default=0.0)
         yield gauge("pipeline_slack", "Least time left for a job that others need, s", slack)
--- a/src/chalkgrade/renting/boots.py
+++ b/src/chalkgrade/renting/boots.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import Pool
+from chalkgrade.machines.flavors import Pool
 
 
 class Boots:
--- a/src/chalkgrade/renting/cloud.py
+++ b/src/chalkgrade/renting/cloud.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import Flavor, Pool
+from chalkgrade.machines.flavors import Flavor, Pool
 from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
 
 
--- a/src/chalkgrade/renting/plan.py
+++ b/src/chalkgrade/renting/plan.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import BOTH, Flavor, Pool, per_machine
-from chalkgrade.machines.placement import allowed
+from chalkgrade.machines.flavors import SPOT_OPTIONS, Flavor, Pool, tasks_per_machine
+from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.record.jobs import JobSpec
 from chalkgrade.renting.boots import Boots
 from chalkgrade.renting.headroom import Headroom, step
@@ -95,13 +95,13 @@
     offers = []
     cheapest = float("inf")
     for flavor in flavors.values():
-        count = per_machine(spec, flavor)
+        count = tasks_per_machine(spec, flavor)
         if count < 1:
             continue
         for site in flavor.sites:
-            for standby in BOTH:
+            for standby in SPOT_OPTIONS:
                 pool = (flavor.sku, site, standby)
-                if not allowed(spec, *pool):
+                if not may_use_machine(spec, *pool):
                     continue
                 full = price(flavor, standby) / count
                 cheapest = min(cheapest, full)
@@ -163,13 +163,18 @@
     def _usable(self, spec: JobSpec) -> list[Pool]:
         """Pools whose machines may run it; those too small for one task don't help it."""
         flavors = self._flavors
-        every = {(f.sku, site, spot) for f in flavors.values() for site in f.sites for spot in BOTH}
+        every = {
+            (f.sku, site, spot)
+            for f in flavors.values()
+            for site in f.sites
+            for spot in SPOT_OPTIONS
+        }
         return sorted(
             pool
             for pool in every | set(self._lanes.pools)
-            if allowed(spec, *pool)
+            if may_use_machine(spec, *pool)
             and pool[0] in flavors
-            and per_machine(spec, flavors[pool[0]]) >= 1
+            and tasks_per_machine(spec, flavors[pool[0]]) >= 1
         )
 
     def _boot_s(self, pool: Pool) -> float:
@@ -186,7 +191,7 @@
         """All at once: what fits the machines one after the other does not help it."""
         spec = need.spec
         rooms = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
-        missing = need.tasks - sum(per_machine(spec, room) for room in rooms)
+        missing = need.tasks - sum(tasks_per_machine(spec, room) for room in rooms)
         while missing > 0:
             offer = _offer(spec, missing, float("inf"), self._flavors, self._shut)
             if offer is None:
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -11,10 +11,11 @@
 from typing import Any
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, persisted_flavors, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import BOTH, Pool, kept_flavors, per_machine
-from chalkgrade.machines.placement import allowed
+from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.renting.boots import Boots
@@ -23,13 +24,12 @@
 from chalkgrade.renting.needs import WaitingWork
 from chalkgrade.renting.plan import Have, plan_rent
 from chalkgrade.renting.report import PlanReport
-from chalkgrade.seams.parts import Part, Sample
 from chalkgrade.sharing.domain import Domain
 
 log = logging.getLogger("chalkgrade.renting")
 
 
-class Renter(Part):
+class Renter(Component):
     """The leader's dealings with the cloud."""
 
     def __init__(
@@ -46,9 +46,9 @@
         self.queues = domain.queues
         self.flavors = domain.flavors
         # The machine types, for controllers that can't ask the cloud.
-        self.types = kept_flavors(domain.flavors)
-        self.kept = [self.types]
-        self.loops = [self.run]
+        self.types = persisted_flavors(domain.flavors)
+        self.persisted_values = [self.types]
+        self.decision_loops = [self.run]
         self.cloud = cloud
         self.live = domain.live
         self.waiting = WaitingWork(domain, able)
@@ -94,9 +94,9 @@
 
     def on_report(self, machine: Machine, first: bool) -> None:
         flavor = self.flavors.get(machine.hosttype)
-        if first and machine.hired and flavor is not None:
+        if first and machine.rented_this_term and flavor is not None:
             pool = (machine.hosttype, machine.site, machine.standby)
-            self.boots.came(pool, machine.born, self.clock.now(), flavor.bootS)
+            self.boots.came(pool, machine.rented_at, self.clock.now(), flavor.bootS)
 
     def samples(self) -> Iterable[Sample]:
         return self.report.samples()
@@ -167,10 +167,10 @@
             names.add(row.nameId)
             if row.nameId in self.fleet.gone:
                 continue
-            machine = self.fleet.machine(row.nameId, row.hosttype, row.site, row.standby)
+            machine = self.fleet.get_or_add(row.nameId, row.hosttype, row.site, row.standby)
             if machine.listed_at is None:
                 machine.listed_at = asked
-                machine.born = now - row.ageS
+                machine.rented_at = now - row.ageS
             machine.status = row.status
         for machine in self.fleet.machines.values():
             why = self._useless(machine, machine.name in names, asked, now)
@@ -196,7 +196,7 @@
         if machine.reported_at is None and flavor is not None:
             pool = (machine.hosttype, machine.site, machine.standby)
             patience = max(constants.BOOT_PATIENCE_MIN_S, constants.BOOT_PATIENCE * flavor.bootS)
-            age = now - machine.born
+            age = now - machine.rented_at
             if now - machine.known_at > constants.BOOT_KNOWN_S:
                 if age > patience:
                     return "never came up"
@@ -207,11 +207,11 @@
             and silent > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
         ):
             return "silent"
-        deaf = machine.hearing.deaf_from
+        deaf = machine.response_tracker.responses_lost_since
         if deaf is not None and now - deaf > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s:
             return "hears nothing"
         # Silent to the last leader and to us: a change of leader begins nothing anew.
-        begun = machine.silent_from if machine.silent_from is not None else now
+        begun = machine.silent_since if machine.silent_since is not None else now
         patience = constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
         if silent > self.fleet.silent_s and now - begun > patience:
             return "silent"
@@ -223,7 +223,9 @@
     def _doom(self, machine: Machine, why: str) -> None:
         if not machine.releasing:
             if self._boots(machine, self.clock.now()):
-                self.boots.lost((machine.hosttype, machine.site, machine.standby), machine.born)
+                self.boots.lost(
+                    (machine.hosttype, machine.site, machine.standby), machine.rented_at
+                )
             log.info(
                 "releasing %s (%s %s): %s",
                 machine.name,
@@ -249,7 +251,7 @@
                 # hear: it counts against its team's limit until it is proved gone, and what a
                 # deaf machine reports proves nothing of an earlier leader's launches.
                 silent = now - max(machine.reported_at or 0.0, machine.known_at)
-                lost = silent > self.fleet.silent_s or machine.hearing.deaf
+                lost = silent > self.fleet.silent_s or machine.response_tracker.responses_lost
                 if lost and any(a.job.aborted for a in machine.attempts.values()):
                     self._doom(machine, "aborted work on a machine that can't be asked")
                 continue
@@ -264,7 +266,7 @@
                 gone = self.fleet.machines.get(name)
                 if gone is None:
                     continue
-                for attempt in self.fleet.drop(gone):
+                for attempt in self.fleet.remove_machine(gone):
                     self.lost(attempt)
 
     def _kept(self, machine: Machine, coming: list[Any]) -> bool:
@@ -281,8 +283,8 @@
             if tasks <= 0 or in_s > flavor.bootS:
                 continue
             spec = job.spec
-            if allowed(spec, machine.hosttype, machine.site, machine.standby):
-                row[2] -= per_machine(spec, flavor)
+            if may_use_machine(spec, machine.hosttype, machine.site, machine.standby):
+                row[2] -= tasks_per_machine(spec, flavor)
                 if row[2] < tasks:
                     return True
         return False
@@ -320,7 +322,7 @@
                 what = about(self.fleet.token)
                 log.info("rented %d of %d of %s", len(names), count, pool, extra=what)
                 for name in names:
-                    self.fleet.machine(name, *pool).hired = True
+                    self.fleet.get_or_add(name, *pool).rented_this_term = True
                 if len(names) < count:
                     self.blocked[pool] = self.clock.now() + constants.REFUSED_S
 
@@ -330,11 +332,13 @@
         for machine in self.fleet.machines.values():
             if self._boots(machine, now) and not machine.releasing:
                 pool = (machine.hosttype, machine.site, machine.standby)
-                booting.setdefault(pool, []).append(machine.born)
+                booting.setdefault(pool, []).append(machine.rented_at)
         doubtful: set[Pool] = set()
         probing: list[Pool] = []
         for flavor in self.flavors.values():
-            for pool in ((flavor.sku, site, spot) for site in flavor.sites for spot in BOTH):
+            for pool in (
+                (flavor.sku, site, spot) for site in flavor.sites for spot in SPOT_OPTIONS
+            ):
                 births = booting.get(pool, [])
                 if not self.boots.doubtful(pool, flavor.bootS, births, now):
                     continue
@@ -355,7 +359,7 @@
             machine.reported_at is None
             and bool(machine.hosttype)
             and machine.status != "running"
-            and (machine.hired or now - machine.known_at > constants.BOOT_KNOWN_S)
+            and (machine.rented_this_term or now - machine.known_at > constants.BOOT_KNOWN_S)
         )
 
     def _have(self, now: float) -> tuple[list[Have], dict[Attempt, float]]:
@@ -367,12 +371,12 @@
         ends: dict[Attempt, float] = {}
         for machine in self.fleet.machines.values():
             flavor = self.flavors.get(machine.hosttype)
-            if flavor is None or not self.fleet.hopeful(machine):
+            if flavor is None or not self.fleet.is_in_service(machine):
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
             boot = 0.0
             if machine.reported_at is None and self._boots(machine, now):
-                left = self.boots.left(pool, flavor.bootS, now - machine.born)
+                left = self.boots.left(pool, flavor.bootS, now - machine.rented_at)
                 if left is None:
                     continue  # what it was rented for must come from elsewhere
                 boot = left
--- a/src/chalkgrade/renting/report.py
+++ b/src/chalkgrade/renting/report.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from chalkgrade.seams.parts import Sample
+from chalkgrade.extensions.components import Sample
 
 
 @dataclass
--- a/src/chalkgrade/serving/intake.py
+++ b/src/chalkgrade/serving/intake.py
@@ -16,8 +16,8 @@
 
 from chalkgrade import constants
 from chalkgrade.leading.term import Term, Unavailable
-from chalkgrade.machines.kinds import Flavor, per_machine
-from chalkgrade.machines.placement import allowed
+from chalkgrade.machines.flavors import Flavor, tasks_per_machine
+from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.membership.views import Views
 from chalkgrade.outside import Clock, NoAnswer, Peers
 from chalkgrade.record import apart
@@ -130,8 +130,8 @@
             site
             for flavor in self.flavors.values()
             for site in flavor.sites
-            if per_machine(spec, flavor) >= 1
-            and any(allowed(spec, flavor.sku, site, standby) for standby in (True, False))
+            if tasks_per_machine(spec, flavor) >= 1
+            and any(may_use_machine(spec, flavor.sku, site, standby) for standby in (True, False))
         }
         if not zones:
             return "a task fits no allowed machine type"
@@ -192,7 +192,7 @@
 
     async def _named(self, spec: JobSpec) -> Answer | None:
         """Why a submission can't be taken for the jobs that it names, or None."""
-        if spec.waitsOn is None or (self.term is not None and self.term.knows(spec.nameId)):
+        if spec.waitsOn is None or (self.term is not None and self.term.has_job(spec.nameId)):
             return None
         try:
             refusal = await self.naming.refusal(spec.waitsOn, self.term)
@@ -280,7 +280,7 @@
 
     async def _from_leader(self, what: str, name: str, timeout: float) -> Answer:
         """Ask the leader, wherever it is: 404 here only means that its book lacks the job."""
-        if self.term is not None and self.term.live():
+        if self.term is not None and self.term.is_serving():
             return await self.lead(what, name)
         leader = self.leadership.leader
         if leader is None or leader == self.settings.member or not self.answers(leader):
@@ -317,7 +317,7 @@
             return LATER
         try:
             if what == "status":
-                account = term.account(name)
+                account = term.job_account(name)
                 if account.open:
                     return OPEN, msgspec.to_builtins(account)
                 return (200, account.told) if account.told is not None else UNKNOWN
--- a/src/chalkgrade/serving/metrics.py
+++ b/src/chalkgrade/serving/metrics.py
@@ -10,7 +10,9 @@
     registry = CollectorRegistry()
     for sample in node.samples():
         kind = Counter if sample.counter else Gauge
-        family = kind(f"chalkgrade_{sample.name}", sample.text, sample.labels, registry=registry)
+        family = kind(
+            f"chalkgrade_{sample.name}", sample.help_text, sample.labels, registry=registry
+        )
         for labels, value in sample.values.items():
             child = family.labels(*labels) if labels else family
             if isinstance(child, Counter):
--- a/src/chalkgrade/serving/naming.py
+++ b/src/chalkgrade/serving/naming.py
@@ -40,7 +40,7 @@
         Who surely leads knows all jobs that are not over but those that another node has just
         accepted under a key of their own: so its book comes before the read.
         """
-        if term is not None and term.live():
+        if term is not None and term.is_serving():
             jobs = term.jobs
             shapes: dict[str, str] = {name: jobs[name].spec.shape for name in names if name in jobs}
             known = shapes.keys() | term.book.over.keys()
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -9,10 +9,12 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.leading.hints import Hints, Succession
+from chalkgrade.extensions import subsystems
+from chalkgrade.extensions.components import Sample, gauge, labelled_sample
+from chalkgrade.leading.hints import HintExchange, Hints
 from chalkgrade.leading.term import Term
+from chalkgrade.machines.flavors import FLAVORS_KEY, Flavor, FlavorsValue
 from chalkgrade.machines.fleet import Report
-from chalkgrade.machines.kinds import FLAVORS_KEY, Flavor, FlavorsValue
 from chalkgrade.membership.presence import Presence
 from chalkgrade.membership.views import ALIVE, STATES, Views
 from chalkgrade.membership.watch import Watch
@@ -20,8 +22,6 @@
 from chalkgrade.outside import Clock, Http, NoAnswer, Peers
 from chalkgrade.record.jobs import Invalid, parse_submission
 from chalkgrade.renting.cloud import Cloud
-from chalkgrade.seams import subsystems
-from chalkgrade.seams.parts import Sample, by_label, gauge
 from chalkgrade.serving.handover import Handover
 from chalkgrade.serving.intake import Intake
 from chalkgrade.serving.reading import LATER, Answer
@@ -86,7 +86,7 @@
         self.intake = Intake(
             settings, self.ledger, self.leadership, peers, clock, self.flavors, self.views
         )
-        self.succession = Succession(self._tell)
+        self.succession = HintExchange(self._tell)
         self.reception = Reception(
             self.leadership,
             self.views,
@@ -105,7 +105,7 @@
             self._machines_up,
         )
         self.testimony = Testimony(clock, peers, others, self.leadership, lambda: self.term)
-        self.intake.checks += subsystems.refusals(settings)
+        self.intake.checks += subsystems.submission_checks(settings)
         self.term: Term | None = None
         self.counts: dict[str, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
@@ -172,11 +172,13 @@
         text = "How long workers are kept if the lease is not proved again, s"
         yield gauge("shelter_left", text, round(left, 1))
         yield from self._member_samples()
-        yield by_label("handovers", "Planned handovers", "outcome", self.handover.counts)
+        yield labelled_sample("handovers", "Planned handovers", "outcome", self.handover.counts)
         yield gauge("up", "1 while users are served here", self.up())
-        yield by_label("http_responses", "Responses by status", "status", self.counts)
-        yield by_label("state_responses", "State service answers", "status", self.ledger.counts)
-        yield by_label("cloud_responses", "Cloud answers", "status", self.cloud.counts)
+        yield labelled_sample("http_responses", "Responses by status", "status", self.counts)
+        yield labelled_sample(
+            "state_responses", "State service answers", "status", self.ledger.counts
+        )
+        yield labelled_sample("cloud_responses", "Cloud answers", "status", self.cloud.counts)
         if self.term is not None:
             yield from self.term.samples()
 
@@ -195,7 +197,7 @@
         }
         text = "Seconds since the last evidence of a kind"
         yield Sample("member_evidence", text, ("member", "kind"), ages)
-        yield by_label("member_events", "Suspicions, verdicts, drops", "event", views.counts)
+        yield labelled_sample("member_events", "Suspicions, verdicts, drops", "event", views.counts)
         yield gauge("loop_late", "How late this controller's loop ran of late, s", views.late_s())
 
     # -- peers --------------------------------------------------------------------
@@ -304,7 +306,7 @@
             if what == "hints":
                 hints = msgspec.convert(arg, Hints)
                 known = hints.token <= self.ledger.revision_bound()
-                if not known or not self.succession.hear(hints, self.leadership.highest):
+                if not known or not self.succession.receive(hints, self.leadership.highest):
                     self.views.drop("hints")
                 return {"status": 200, "body": {}}
             if what == "told":
@@ -317,14 +319,14 @@
                     status, body = await self.intake.lead(what, arg)
             elif what == "submit" and isinstance(arg, str):
                 status, body = LATER
-                if self.term is not None and self.term.live():
+                if self.term is not None and self.term.is_serving():
                     spec = parse_submission(arg.encode(), self.ledger.limits.value_b)
                     status, body = await self.intake.admit(spec)
             elif what == "hello":
                 status, body = 421, {}
                 if self.term is not None and self.term.ready:
                     report = msgspec.convert(arg, Report)
-                    status, body = await self.term.hello(report, relayed=True)
+                    status, body = await self.term.handle_report(report, relayed=True)
         except (msgspec.ValidationError, Invalid) as error:
             status, body = 400, {"error": str(error)}
         except (NoAnswer, NotExecuted):
--- a/src/chalkgrade/serving/reception.py
+++ b/src/chalkgrade/serving/reception.py
@@ -62,7 +62,7 @@
         if term is not None:
             # A report may show a newer leader's token: then we are no leader any more.
             if self._shelters(report) and term.ready:
-                status, answer = await term.hello(report)
+                status, answer = await term.handle_report(report)
                 if status == 200:
                     return status, answer
             else:
@@ -107,7 +107,7 @@
         deadline = min(most, now + constants.LEADER_HOLD_S)
         while self.clock.now() < deadline and not self._somebody_leads():
             term = self.term()
-            waits_for = self.leadership.changed if term is None else term.loaded
+            waits_for = self.leadership.changed if term is None else term.record_loaded
             await waits_for.wait(deadline - self.clock.now())
 
     def _somebody_leads(self) -> bool:
--- a/src/chalkgrade/serving/testimony.py
+++ b/src/chalkgrade/serving/testimony.py
@@ -81,7 +81,7 @@
             if term is None or not term.ready:
                 continue
             if self._leadership.acting():
-                term.doubt()
+                term.withdraw_reported_cancellations()
             elif self._leadership.sheltering():
                 await self._ask(term)
 
@@ -98,7 +98,7 @@
         if self._term() is not term:
             return
         # First what was told, then the knowledge: never the other way round.
-        term.believe({name for names in lists for name in names or ()})
+        term.apply_reported_cancellations({name for names in lists for name in names or ()})
         if all(names is not None for names in lists):
             shelter.vouched(asked_at)
             log.debug("all controllers tell whom they told: workers are kept on")
--- a/src/chalkgrade/settings.py
+++ b/src/chalkgrade/settings.py
@@ -145,7 +145,7 @@
     zone: str = ""
     others: list[Peer] = []
     operator: OperatorSettings = msgspec.field(default_factory=OperatorSettings)
-    # What each subsystem's own file said, by its name; see `seams.subsystems`.
+    # What each subsystem's own file said, by its name; see `extensions.subsystems`.
     parts: dict[str, Any] = {}
 
 
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -1,8 +1,8 @@
 """What each queue has and wants in a round: the input of steps 4 to 7."""
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gates
 from chalkgrade.settings import Team
 from chalkgrade.sharing.floor import Floor
 from chalkgrade.sharing.queues import Queues
@@ -20,7 +20,7 @@
         floor: Floor,
         held: dict[str, Vector],
         least: int,
-        gates: Gates,
+        gates: ConstraintSet,
     ) -> None:
         self.gates = gates
         self.queues = queues
@@ -50,7 +50,7 @@
                 queues.touch(queue)
             wants, task, remaining = self.held[queue], ZERO, 0.0
             for job in jobs:
-                count = self.gates.able(job, job.startable)
+                count = self.gates.max_demand(job, job.startable)
                 wants = plus(wants, tuple(a * count for a in job.spec.room))
                 task = tuple(max(a, b) for a, b in zip(task, job.spec.room, strict=True))
                 work = (count + len(job.live)) * queues.run_s(job)
@@ -63,7 +63,7 @@
             now = self.held[queue]
             for job in jobs:
                 lack = min(job.startable, max(0, self.needed(job) - len(job.live)))
-                lack = self.gates.able(job, lack)
+                lack = self.gates.max_demand(job, lack)
                 now = plus(now, tuple(a * lack for a in job.spec.room))
             demands[queue] = Demand(
                 queue,
--- a/src/chalkgrade/sharing/domain.py
+++ b/src/chalkgrade/sharing/domain.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.record.book import Book
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.state.office import Office
--- a/src/chalkgrade/sharing/floor.py
+++ b/src/chalkgrade/sharing/floor.py
@@ -2,9 +2,9 @@
 
 from collections import defaultdict
 
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Machine
-from chalkgrade.machines.kinds import Flavor
-from chalkgrade.machines.placement import Occupant, Slot, allowed, wait_s
+from chalkgrade.machines.placement import Occupant, Slot, may_use_machine, room_wait_s
 from chalkgrade.record.jobs import Attempt, JobSpec
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.vectors import ZERO, Vector, fits, minus, plus
@@ -39,7 +39,7 @@
         counts: dict[str, int] = defaultdict(int)
         for machine in self.fleet.machines.values():
             flavor = self.flavors.get(machine.hosttype)
-            strangers = machine.strangers()
+            strangers = machine.unknown_tasks()
             for entry in strangers:
                 name, _, index = entry.task.rpartition("/")
                 if index.isdigit():
@@ -79,7 +79,7 @@
             flavor.pullGbPerS,
             machine.failures,
             fetching,
-            self.fleet.delay_s(machine),
+            self.fleet.launch_delay_s(machine),
             lambda: [self.occupant(attempt) for attempt in machine.attempts.values()],
         )
 
@@ -119,9 +119,9 @@
         if key not in self._waits:
             self._waits[key] = sorted(
                 (
-                    (wait_s(spec, slot), slot.name, slot)
+                    (room_wait_s(spec, slot), slot.name, slot)
                     for slot in self.every()
-                    if allowed(spec, slot.hosttype, slot.site, slot.standby)
+                    if may_use_machine(spec, slot.hosttype, slot.site, slot.standby)
                     and fits(spec.room, slot.total)
                 ),
                 key=lambda entry: entry[:2],
--- a/src/chalkgrade/sharing/gates.py
+++ b/src/chalkgrade/sharing/gates.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import Preemption, StartConstraint
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.placement import Slot, zones_open
+from chalkgrade.machines.placement import Slot, eligible_zones
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gate, Stops
 from chalkgrade.settings import Team
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.vectors import EPS, ZERO, Vector, fits, minus, plus
@@ -17,16 +17,16 @@
 NO_LIMIT = 1e18  # more than any team can use
 
 
-class Pauses(Gate):
+class Pauses(StartConstraint):
     """Aborted work starts no more; a faulty job is probed after pauses."""
 
     def __init__(self) -> None:
         self._now = 0.0
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._now = now
 
-    def ready(self, job: Job) -> bool:
+    def is_ready(self, job: Job) -> bool:
         return (
             job.startable > 0
             and not job.aborted
@@ -34,14 +34,14 @@
             and self._now >= job.not_before
         )
 
-    def most(self, job: Job, count: int) -> int:
+    def max_starts(self, job: Job, count: int) -> int:
         return min(count, job.startable)
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         return FAULTY if job.faulty or self._now < job.not_before else ""
 
 
-class Maxima(Gate):
+class Maxima(StartConstraint):
     """A team's maximum counts everything of it that may be present."""
 
     def __init__(self, teams: dict[str, Team], queues: Queues) -> None:
@@ -52,7 +52,7 @@
         self._soon: dict[str, Vector] = {}  # what its maximum leaves before long
         self._lasting: dict[str, Vector] = defaultdict(lambda: ZERO)  # of used, by services
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.used.clear()
         self._keeps.clear()
         self._soon.clear()
@@ -64,7 +64,7 @@
                 if job.spec.shape == "service":
                     self._lasting[job.spec.owner] = plus(self._lasting[job.spec.owner], taken)
 
-    def ready(self, job: Job) -> bool:
+    def is_ready(self, job: Job) -> bool:
         return job.spec.owner in self.teams
 
     def limit(self, owner: str) -> Vector:
@@ -75,7 +75,7 @@
         need = job.spec.room if count == 1 else tuple(a * count for a in job.spec.room)
         return fits(plus(self.used[job.spec.owner], need), self.limit(job.spec.owner))
 
-    def most(self, job: Job, count: int) -> int:
+    def max_starts(self, job: Job, count: int) -> int:
         # What the maximum leaves is kept for more urgent work of the team.
         if job.spec.rank < self._keeps.get(job.spec.owner, job.spec.rank):
             return 0
@@ -86,10 +86,10 @@
         fit = (int((left + EPS) // need) for left, need in rooms if need > 0)
         return max(0, min(count - 1, *fit))
 
-    def took(self, job: Job, site: str) -> None:
+    def on_placed(self, job: Job, site: str) -> None:
         self.used[job.spec.owner] = plus(self.used[job.spec.owner], job.spec.room)
 
-    def make_way(self, job: Job, stops: Stops) -> None:
+    def preempt_for(self, job: Job, stops: Preemption) -> None:
         """A team at its maximum: keep what frees up for its most urgent waiting work.
 
         Else its small tasks take each freed CPU, and four at once never come free. Only if
@@ -101,7 +101,7 @@
             return
         if spec.owner not in self._soon:
             spare = minus(self.limit(spec.owner), self.used[spec.owner])
-            spare = plus(spare, stops.ending(spec.owner, constants.KEPT_S))
+            spare = plus(spare, stops.resources_ending(spec.owner, constants.KEPT_S))
             # Replicas end when they are called off, not when they have run for their time.
             most = minus(self.limit(spec.owner), self._lasting[spec.owner])
             self._soon[spec.owner] = tuple(map(min, spare, most))
@@ -109,26 +109,26 @@
             self._keeps[spec.owner] = spec.rank
         if not stops.preempt:
             return
-        wanted = tuple(a * min(len(job.waiting), stops.machines()) for a in spec.room)
+        wanted = tuple(a * min(len(job.waiting), stops.machine_count()) for a in spec.room)
         over = minus(plus(self.used[spec.owner], wanted), self.limit(spec.owner))
         slack = max(constants.PREEMPT_WAIT_S, self._queues.slack(job))
-        over = minus(over, stops.ending(spec.owner, slack))
-        while (over[0] > 0 or over[1] > 0) and stops.own_room(job):
+        over = minus(over, stops.resources_ending(spec.owner, slack))
+        while (over[0] > 0 or over[1] > 0) and stops.preempt_own_team(job):
             over = minus(over, spec.room)
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         known = job.spec.owner in self.teams
         return "" if known and self._fits(job, 1) else MAXIMUM
 
 
-class Zones(Gate):
+class Zones(StartConstraint):
     """All of a job in one zone, or at most half of it in each."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._held: dict[Job, dict[str, int]] = {}
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._held.clear()
 
     def held(self, job: Job) -> dict[str, int]:
@@ -141,17 +141,17 @@
                     zone_of[machine.site if machine else ""] += 1
         return self._held[job]
 
-    def sites(self, job: Job, sites: set[str]) -> set[str]:
+    def allowed_zones(self, job: Job, sites: set[str]) -> set[str]:
         if not (job.spec.oneZone or job.spec.spread):
             return sites
-        return zones_open(job.spec, self.held(job), sites)
+        return eligible_zones(job.spec, self.held(job), sites)
 
-    def took(self, job: Job, site: str) -> None:
+    def on_placed(self, job: Job, site: str) -> None:
         if job.spec.oneZone or job.spec.spread:
             self.held(job)[site] += 1
 
 
-class KeptRoom(Gate):
+class KeptRoom(StartConstraint):
     """Room that is kept on machines for granted work that found none yet.
 
     Without it, small tasks refill every gap and a task that needs half a machine
@@ -161,13 +161,13 @@
     def __init__(self) -> None:
         self.count = 0  # machines that room is kept on
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.count = 0  # the slots that say for whom are made anew for each round
 
     def keep(self, job: Job, slot: Slot) -> None:
         """Keep room for one task; on a large machine the rest stays free for others."""
-        self.count += not slot.kept_for
-        slot.kept_for, slot.kept = job.name, job.spec.room
+        self.count += not slot.reserved_for
+        slot.reserved_for, slot.reserved = job.name, job.spec.room
 
-    def opens(self, job: Job, slot: Slot) -> bool:
-        return not slot.kept_for or fits(job.spec.room, slot.room_for(job.name))
+    def allows_slot(self, job: Job, slot: Slot) -> bool:
+        return not slot.reserved_for or fits(job.spec.room, slot.room_for(job.name))
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.machines.kinds import Flavor
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.outside import Clock
 from chalkgrade.record.changes import Kept
 from chalkgrade.record.jobs import Attempt, Job
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable, Sequence
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet, StartConstraint
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.kinds import Flavor
-from chalkgrade.machines.placement import Picker, Slot, choose_all, occupy
+from chalkgrade.machines.placement import Slot, SlotPicker, choose_gang_slots, occupy_slot
 from chalkgrade.outside import Clock
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gate, Gates
 from chalkgrade.settings import Team
 from chalkgrade.sharing.demands import Demands
 from chalkgrade.sharing.floor import Floor
@@ -42,7 +42,7 @@
         queues: Queues,
         clock: Clock,
         preempt: bool = True,
-        gates: Sequence[Gate] = (),
+        gates: Sequence[StartConstraint] = (),
     ) -> None:
         self.jobs = jobs
         self.fleet = fleet
@@ -53,22 +53,22 @@
         self.preempt = preempt
         self.maxima, self.zones, self.kept = Maxima(teams, queues), Zones(fleet), KeptRoom()
         # A seat comes before the maximum: for work without one nobody is stopped.
-        self.gates = Gates([Pauses(), *gates, self.maxima, self.zones, self.kept])
+        self.gates = ConstraintSet([Pauses(), *gates, self.maxima, self.zones, self.kept])
         self.held: dict[str, Vector] = defaultdict(lambda: ZERO)
         self.patient = True  # work may wait for machines that hold its image
-        self._pickers: dict[object, Picker] = {}
+        self._pickers: dict[object, SlotPicker] = {}
         self.stopped = 0  # running tasks that were told to stop
         self.guarding = False  # placing for queues that starve
 
     def run(self) -> int:
         """Place what can be placed; how many attempts were decided."""
         ready: dict[str, list[Job]] = defaultdict(list)
-        self.gates.begin(self.jobs.values(), self.now)
+        self.gates.begin_round(self.jobs.values(), self.now)
         for job in self.jobs.values():
             if job.live:
                 taken = tuple(a * len(job.live) for a in job.spec.room)
                 self.held[job.group] = plus(self.held[job.group], taken)
-            if self.gates.ready(job):
+            if self.gates.is_ready(job):
                 ready[job.group].append(job)
         if not ready:
             return 0
@@ -223,7 +223,7 @@
         grows to all tasks of the first job as far as half of the room holds them: in two waves
         it takes twice as long, and the second leaves most of the part to nobody.
         """
-        waiting = [job for job in jobs if self.gates.ready(job)]
+        waiting = [job for job in jobs if self.gates.is_ready(job)]
         if not waiting:
             return 0
         first, spec = waiting[0], waiting[0].spec
@@ -252,7 +252,7 @@
 
     def _place_first(self) -> int:
         """What a gate has a machine for, as far as the other gates let it start."""
-        wanted, placed = self.gates.first(), 0
+        wanted, placed = self.gates.priority_starts(), 0
         slots = {slot.name: slot for slot in self.floor.slots} if wanted else {}
         for job, index, name in wanted:
             slot = slots.get(name)
@@ -260,13 +260,13 @@
                 slot is not None
                 and index in job.waiting
                 and index not in self.floor.strange.get(job.name, ())
-                and self.gates.ready(job)
-                and self.gates.most(job, 1) > 0
-                and slot.site in self.gates.sites(job, self.floor.zones)
+                and self.gates.is_ready(job)
+                and self.gates.max_starts(job, 1) > 0
+                and slot.site in self.gates.allowed_zones(job, self.floor.zones)
                 and fits(job.spec.room, slot.free)
-                and self.gates.opens(job, slot)
+                and self.gates.allows_slot(job, slot)
             ):
-                occupy(slot, job.spec)
+                occupy_slot(slot, job.spec)
                 self._place(job, index, slot)
                 placed += 1
         return placed
@@ -307,11 +307,11 @@
     ) -> tuple[int, Vector | None]:
         """Place a job's tasks one by one until something is short; as `_place_all`."""
         spec, placed = job.spec, 0
-        picker: Picker | None = None
+        picker: SlotPicker | None = None
         skip = self.floor.strange.get(job.name, set())
 
         def opens(slot: Slot) -> bool:
-            return self.gates.opens(job, slot)
+            return self.gates.allows_slot(job, slot)
 
         for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
             index = job.waiting.first(skip)
@@ -319,11 +319,11 @@
                 break  # all placed, or present somewhere without our doing: wait for that
             if budget is not None and not fits(spec.room, budget):
                 break
-            if self.gates.refused(job, 1, self.making):
+            if self.gates.refuses_starts(job, 1, self.making):
                 break
             if picker is None:
                 picker = self._picker(job, near)
-            slot = picker.take(opens, self.gates.sites(job, self.floor.zones))
+            slot = picker.take_best(opens, self.gates.allowed_zones(job, self.floor.zones))
             if slot is None:
                 if reserve:
                     self.making.reserve(job)
@@ -334,14 +334,14 @@
                 budget = minus(budget, spec.room)
         return placed, budget
 
-    def _picker(self, job: Job, near: bool) -> Picker:
+    def _picker(self, job: Job, near: bool) -> SlotPicker:
         """The machines for a job's tasks: the same ranking for all jobs that are alike."""
         spec, shunned = job.spec, self._shunned(job)
         if shunned or spec.oneZone or spec.spread:
-            return Picker(spec, self.floor.slots, shunned, near)
+            return SlotPicker(spec, self.floor.slots, shunned, near)
         key = (spec.suits, spec.bundle, spec.pullGb, near)
         if key not in self._pickers:
-            self._pickers[key] = Picker(spec, self.floor.slots, (), near)
+            self._pickers[key] = SlotPicker(spec, self.floor.slots, (), near)
         return self._pickers[key]
 
     def _shunned(self, job: Job) -> Iterable[str]:
@@ -370,16 +370,16 @@
             return 0
         if budget is not None and not fits(need, budget):
             return 0
-        if self.gates.refused(job, count, self.making):
+        if self.gates.refuses_starts(job, count, self.making):
             return 0
-        sites = self.gates.sites(job, self.floor.zones)
-        found = choose_all(
+        sites = self.gates.allowed_zones(job, self.floor.zones)
+        found = choose_gang_slots(
             spec,
             count,
             [slot for slot in self.floor.slots if slot.site in sites],
             self.zones.held(job),
             self._shunned(job),
-            lambda slot: self.gates.opens(job, slot),
+            lambda slot: self.gates.allows_slot(job, slot),
         )
         if found is None:
             if reserve:
@@ -387,7 +387,7 @@
             return 0
         number = job.next_try()
         for index, slot in zip(list(job.waiting), found, strict=True):
-            occupy(slot, spec)
+            occupy_slot(slot, spec)
             self._place(job, index, slot, number)
         return count
 
@@ -399,7 +399,7 @@
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.fleet.token, job.name, slot.name, attempt.label)
             log.debug("%s to %s", attempt.label, slot.name, extra=what)
-        self.fleet.hold(attempt)
+        self.fleet.attach_attempt(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
         self.held[job.group] = plus(self.held[job.group], job.spec.room)
-        self.gates.took(job, slot.site)
+        self.gates.on_placed(job, slot.site)
--- a/src/chalkgrade/sharing/standing.py
+++ b/src/chalkgrade/sharing/standing.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterable, Sequence
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet, StartConstraint
+from chalkgrade.machines.flavors import Flavor, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.kinds import Flavor, Pool, per_machine
-from chalkgrade.machines.placement import allowed
+from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gate, Gates
 from chalkgrade.settings import Team
 from chalkgrade.sharing.gates import Maxima, Pauses
 from chalkgrade.sharing.queues import Queues
@@ -36,12 +36,12 @@
     refused: Iterable[Pool],
     live: bool,
     now: float,
-    outer: Sequence[Gate] = (),
+    outer: Sequence[StartConstraint] = (),
 ) -> Standing:
     """How many tasks of each class wait for which reason, the one nearest its cause first."""
     known = list(jobs)
-    gates = Gates([Pauses(), *outer, Maxima(teams, queues)])
-    gates.begin(known, now)
+    gates = ConstraintSet([Pauses(), *outer, Maxima(teams, queues)])
+    gates.begin_round(known, now)
     waiting = [job for job in known if len(job.waiting) and not job.aborted and not job.aborting]
     usable: dict[Pool, int] = defaultdict(int)
     booting: dict[Pool, int] = defaultdict(int)
@@ -64,7 +64,7 @@
 
 def _why(
     job: Job,
-    gates: Gates,
+    gates: ConstraintSet,
     flavors: dict[str, Flavor],
     live: bool,
     now: float,
@@ -73,13 +73,17 @@
     spec = job.spec
     if not live:
         return STATE
-    closed = gates.why(job)
+    closed = gates.refusal_reason(job)
     if closed:
         return closed
 
     def suits(pool: Pool) -> bool:
         flavor = flavors.get(pool[0])
-        return flavor is not None and allowed(spec, *pool) and per_machine(spec, flavor) > 0
+        return (
+            flavor is not None
+            and may_use_machine(spec, *pool)
+            and tasks_per_machine(spec, flavor) > 0
+        )
 
     usable, booting, silent, refused = (
         sum(count for pool, count in kind.items() if suits(pool)) for kind in pools
--- a/src/chalkgrade/sharing/stops.py
+++ b/src/chalkgrade/sharing/stops.py
@@ -13,10 +13,10 @@
 from itertools import accumulate
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet
 from chalkgrade.logs import about
-from chalkgrade.machines.placement import Offers, Slot, tasks_in
+from chalkgrade.machines.placement import PreemptionOffers, Slot, tasks_fitting_after
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gates
 from chalkgrade.settings import Team
 from chalkgrade.sharing.floor import Floor
 from chalkgrade.sharing.gates import KeptRoom, Maxima
@@ -31,7 +31,7 @@
     rows: dict[str, list[tuple[float, Vector]]] = defaultdict(list)
     for slot in slots:
         for mate in slot.occupants:
-            rows[mate.owner].append((mate.left_s, mate.room))
+            rows[mate.owner].append((mate.remaining_s, mate.room))
     out: dict[str, tuple[list[float], list[Vector]]] = {}
     for owner, ends in rows.items():
         ends.sort()
@@ -55,7 +55,7 @@
         self,
         floor: Floor,
         queues: Queues,
-        gates: Gates,
+        gates: ConstraintSet,
         maxima: Maxima,
         kept: KeptRoom,
         rooms: Collection[Vector],
@@ -72,16 +72,16 @@
         self.stopped = 0
         self.guaranteed = False  # placing what a guarantee covers
         self.only = Only.ALL
-        self._offers: dict[object, Offers] = {}
+        self._offers: dict[object, PreemptionOffers] = {}
         # By team, when its tasks end by themselves, and the room of all until then.
         self._endings: dict[str, tuple[list[float], list[Vector]]] | None = None
 
-    # -- what gates may ask of it (`seams.gates.Stops`) ---------------------------------
+    # -- what gates may ask of it (`extensions.constraints.Stops`) ---------------------------------
 
-    def own_room(self, job: Job) -> bool:
-        return self._make_room(job, self.floor.zones, True, self.worth(job)) > 0
+    def preempt_own_team(self, job: Job) -> bool:
+        return self._make_room(job, self.floor.zones, True, self.max_preemption_loss(job)) > 0
 
-    def ending(self, owner: str, within_s: float) -> Vector:
+    def resources_ending(self, owner: str, within_s: float) -> Vector:
         """Asked for each refused job of a team at its maximum: the machines are gone through once.
 
         Found at 4,000 machines in the region: going through them for each took 260 of 620 s.
@@ -91,20 +91,20 @@
         times, sums = self._endings.get(owner, ([], [ZERO]))
         return sums[bisect_right(times, within_s)]
 
-    def machines(self) -> int:
+    def machine_count(self) -> int:
         return len(self.floor.every())
 
-    def may_stop(self, attempt: Attempt, job: Job) -> bool:
+    def may_preempt(self, attempt: Attempt, job: Job) -> bool:
         spec = attempt.job.spec
         if spec.rank < job.spec.rank and not attempt.guarded:
             return True
         over = self._excess().get(spec.owner) if self.guaranteed else None
         return spec.owner != job.spec.owner and over is not None and fits(spec.room[:2], over)
 
-    def loss(self, attempt: Attempt) -> float:
-        return self.floor.occupant(attempt).lost
+    def preemption_loss(self, attempt: Attempt) -> float:
+        return self.floor.occupant(attempt).loss_cpu_s
 
-    def worth(self, job: Job) -> float:
+    def max_preemption_loss(self, job: Job) -> float:
         return constants.PREEMPT_RATIO * job.spec.vcpus * self.queues.run_s(job)
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
@@ -131,9 +131,9 @@
         stops less urgent work where that loses least.
         """
         waits = self.keep(job, job.startable, constants.RESERVE_PART)
-        zones = self.gates.sites(job, self.floor.zones)
+        zones = self.gates.allowed_zones(job, self.floor.zones)
         late = max(constants.PREEMPT_WAIT_S, self.queues.slack(job))
-        work = self.worth(job)
+        work = self.max_preemption_loss(job)
         for wait in waits:
             if wait > late and not self._make_room(job, zones, False, work):
                 return
@@ -152,14 +152,14 @@
             late = soonest[0][0] + constants.DRAIN_STAY_S if soonest else 0.0
 
             def stays(entry: tuple[float, str, Slot]) -> bool:
-                queue, at = self.floor.fleet.machines[entry[1]].drains
+                queue, at = self.floor.fleet.machines[entry[1]].kept_for_queue
                 recent = queue == job.group and now - at < constants.DRAIN_STAY_S
                 return recent and entry[0] <= late
 
             return sorted(soonest, key=lambda entry: not stays(entry))
 
         for slot in self._keep(job, count, constants.STARVE_KEEP, order):
-            self.floor.fleet.machines[slot.name].drains = (job.group, now)
+            self.floor.fleet.machines[slot.name].kept_for_queue = (job.group, now)
 
     def keep(self, job: Job, count: int, part: float) -> list[float]:
         """Keep the machines that have room soonest for so many tasks; when they will have.
@@ -183,16 +183,16 @@
         spec = job.spec
         if not any(fits(room, spec.room) and room != spec.room for room in self.rooms):
             return []  # nothing smaller waits: whatever frees up is as good for this job
-        zones = self.gates.sites(job, self.floor.zones)
+        zones = self.gates.allowed_zones(job, self.floor.zones)
         every = len(self.floor.slots) + len(self.floor.full)
         most = math.ceil(every * part) - self.kept.count
-        most = self.gates.able(job, min(count, most))
+        most = self.gates.max_demand(job, min(count, most))
         out: list[Slot] = []
         for _, _, slot in order() if most > 0 else ():
             if len(out) >= most:
                 break
             # What was placed there in this round is not in its wait: it is not soon free.
-            if not slot.kept_for and slot.site in zones and not slot.touched:
+            if not slot.reserved_for and slot.site in zones and not slot.was_placed_on:
                 out.append(slot)
                 self.kept.keep(job, slot)
         return out
@@ -219,7 +219,7 @@
         behind: list[tuple[Job, int]] = []
         for job in jobs:
             if self.preempt and self.queues.clock.wall() - job.open_at > constants.PREEMPT_WAIT_S:
-                count = self.gates.able(job, min(job.startable, needed(job) - len(job.live)))
+                count = self.gates.max_demand(job, min(job.startable, needed(job) - len(job.live)))
                 if count > 0 and not self.queues.guest(job):
                     behind.append((job, count))
         if not behind:
@@ -235,8 +235,8 @@
             there = min(count, int(coming / vcpus))
             coming -= there * vcpus
             count -= there
-            work = self.worth(job)
-            zones = self.gates.sites(job, self.floor.zones)
+            work = self.max_preemption_loss(job)
+            zones = self.gates.allowed_zones(job, self.floor.zones)
             while count > 0 and most > 0:
                 made = self._make_room(job, zones, False, work)
                 if not made:
@@ -273,14 +273,18 @@
             if only is Only.GUESTS and excess is not None:
                 guests = {name for name, team in self.teams.items() if not (team.cpus or team.gpus)}
                 excess = {name: over for name, over in excess.items() if name in guests}
-            self._offers[key] = Offers(
+            self._offers[key] = PreemptionOffers(
                 spec, slots, own, excess, only is Only.GUESTS, only is Only.SAVERS
             )
 
         def is_open(slot: Slot) -> bool:
-            return slot.kept_for in ("", job.name) and slot.site in zones and not slot.touched
+            return (
+                slot.reserved_for in ("", job.name)
+                and slot.site in zones
+                and not slot.was_placed_on
+            )
 
-        taken = self._offers[key].take(is_open, most)
+        taken = self._offers[key].take_cheapest(is_open, most)
         if taken is None:
             return 0
         slot, found = taken
@@ -288,7 +292,7 @@
         machine = self.floor.fleet.machines[slot.name]
         for victim in found:
             victim.stopping = True
-            victim.left_s = 0.0
+            victim.remaining_s = 0.0
         self._endings = None
         self.stop([machine.attempts[victim.task, victim.number] for victim in found], job)
-        return tasks_in(spec, slot, found)
+        return tasks_fitting_after(spec, slot, found)
--- a/tests/test_absence_model.py
+++ b/tests/test_absence_model.py
@@ -17,7 +17,7 @@
     run_state_machine_as_test,
 )
 
-from chalkgrade.machines.fleet import Fleet, Machine, Report, TaskReport, orders
+from chalkgrade.machines.fleet import Fleet, Machine, Report, TaskReport, build_orders
 from chalkgrade.record.jobs import Attempt, Job, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.loop import HandClock
@@ -62,7 +62,7 @@
         self.job.page_of(0).next = self.next
         for index, (number, machine) in self.live.items():
             self.job._live(self.job.page_of(0), Attempt(self.job, index, number, machine, 0))
-            self.fleet.hold(self.job.live[index])
+            self.fleet.attach_attempt(self.job.live[index])
 
     def machine(self) -> Machine | None:
         return self.fleet.machines.get("host-1")
@@ -112,21 +112,25 @@
         if made.baton > self.token:
             return None
         received = self.clock.at
-        machine = self.fleet.take(made)
+        machine = self.fleet.accept_report(made)
         if machine is None:
             return None
         for key, attempt in list(machine.attempts.items()):
             entry = machine.tasks.get(key)
             if entry is None:
-                if self.fleet.absent(machine, attempt) and (
-                    machine.hearing.deaf or attempt.kill_at
+                if self.fleet.is_surely_absent(machine, attempt) and (
+                    machine.response_tracker.responses_lost or attempt.kill_at
                 ):
                     self.absent(machine, attempt)
-            elif entry.status == "ended" and self.fleet.over(machine, attempt, entry.cause or ""):
+            elif entry.status == "ended" and self.fleet.is_surely_ended(
+                machine, attempt, entry.cause or ""
+            ):
                 self.absent(machine, attempt)
         machine.answered_at = self.clock.at
-        found = orders(machine, [], self.clock, launches=not machine.hearing.deaf)
-        machine.hearing.answers((made.tenure, made.seq), received, self.clock.at)
+        found = build_orders(
+            machine, [], self.clock, launches=not machine.response_tracker.responses_lost
+        )
+        machine.response_tracker.on_response_sent((made.tenure, made.seq), received, self.clock.at)
         return {"baton": self.token, "tenure": made.tenure, "orders": found}
 
     def absent(self, machine: Machine, attempt: Attempt) -> None:
@@ -167,15 +171,15 @@
         attempt.decided, attempt.op = self.clock.at, 0
         self.live[index] = attempt.number, "host-1"
         self.next = attempt.number + 1
-        self.fleet.hold(attempt)
+        self.fleet.attach_attempt(attempt)
 
     @precondition(lambda self: self.machine() is not None)
     @rule()
     def sweep(self) -> None:
         machine = self.machine()
         assert machine is not None
-        if machine.attempts and self.fleet.lapsed(machine):
-            every = self.fleet.expired(machine)
+        if machine.attempts and self.fleet.is_own_lease_over(machine):
+            every = self.fleet.is_lease_over(machine)
             for attempt in [a for a in machine.attempts.values() if every or a.decided]:
                 self.absent(machine, attempt)
 
@@ -269,7 +273,7 @@
 
 
 def _by_arrival(patch: pytest.MonkeyPatch) -> None:
-    plain = Fleet.take
+    plain = Fleet.accept_report
 
     def take(self: Fleet, report: Report) -> Machine | None:
         machine = self.machines.get(report.host)
@@ -277,22 +281,22 @@
             machine.tenure, machine.seq = 0, 0
         return plain(self, report)
 
-    patch.setattr(Fleet, "take", take)
+    patch.setattr(Fleet, "accept_report", take)
 
 
 def _absence_by_any_report(patch: pytest.MonkeyPatch) -> None:
     def absent(self: Fleet, machine: Machine, attempt: Attempt) -> bool:
         return (attempt.name, attempt.number) not in machine.tasks
 
-    patch.setattr(Fleet, "absent", absent)
+    patch.setattr(Fleet, "is_surely_absent", absent)
 
 
 def _lease_by_any_token(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Fleet, "expired", Fleet.lapsed)
+    patch.setattr(Fleet, "is_lease_over", Fleet.is_own_lease_over)
 
 
 def _any_end_is_believed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Fleet, "over", lambda self, machine, attempt, cause: True)
+    patch.setattr(Fleet, "is_surely_ended", lambda self, machine, attempt, cause: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -415,7 +415,7 @@
 
 def _unknown_while_it_is_admitted(patch: Patch) -> None:
     """Who asks or aborts hears that the book lacks the job, though its commit is open."""
-    account, abort = Term.account, Term.abort
+    account, abort = Term.job_account, Term.abort
 
     def without(self: Term, name: str) -> Account:
         return account(self, name) if name in self.jobs else Account()
@@ -423,7 +423,7 @@
     async def at_once(self: Term, name: str) -> str | None:
         return await abort(self, name) if name in self.jobs else None
 
-    patch.setattr(Term, "account", without)
+    patch.setattr(Term, "job_account", without)
     patch.setattr(Term, "abort", at_once)
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -169,7 +169,7 @@
 
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
-        if job is None or not self.live():
+        if job is None or not self.is_serving():
             return await plain(self, name)
         self.book.abort(job)
         return "withdrawn"
@@ -295,7 +295,7 @@
 
 def test_a_machine_that_is_not_told_again_after_it_hung_is_found(monkeypatch: Patch) -> None:
     """A kill that was sent once, into an answer that was dropped, counts as executed."""
-    plain = fleet.orders
+    plain = fleet.build_orders
 
     def orders(machine: Machine, *args: Any, **more: Any) -> list[dict[str, Any]]:
         told = {key for key, attempt in machine.attempts.items() if attempt.kill_sent}
@@ -475,7 +475,7 @@
     monkeypatch: Patch,
 ) -> None:
     """An answer that may launch nothing has no orders at all."""
-    plain = fleet.orders
+    plain = fleet.build_orders
 
     def orders(*args: Any, launches: bool) -> list[dict[str, Any]]:
         return plain(*args, launches=launches) if launches else []
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -208,12 +208,12 @@
 
 
 def _starves(patch: Patch, jobclass: str) -> None:
-    plain = gates.Maxima.most
+    plain = gates.Maxima.max_starts
 
     def most(self: gates.Maxima, job: Job, count: int) -> int:
         return 0 if job.spec.jobclass == jobclass else plain(self, job, count)
 
-    patch.setattr(gates.Maxima, "most", most)
+    patch.setattr(gates.Maxima, "max_starts", most)
 
 
 def test_a_class_that_waits_beside_room_is_found_and_it_is_said_why(monkeypatch: Patch) -> None:
@@ -394,7 +394,7 @@
 
 def _kills_for_some_seconds(patch: Patch) -> None:
     """What was told to stop for five seconds counts as stopped, whether or not it could hear."""
-    plain = reports.orders
+    plain = reports.build_orders
 
     def orders(machine: Machine, *args: Any, **named: Any) -> list[dict[str, Any]]:
         now = args[1].now()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -88,8 +88,8 @@
         plain = world.trouble
         world.trouble = lambda kind, seconds: plain(4, seconds)  # type: ignore[method-assign]
 
-    monkeypatch.setattr(fleet.Fleet, "expired", guess)
-    monkeypatch.setattr(fleet.Fleet, "lapsed", guess)
+    monkeypatch.setattr(fleet.Fleet, "is_lease_over", guess)
+    monkeypatch.setattr(fleet.Fleet, "is_own_lease_over", guess)
     # What is guessed away counts against no maximum either: with them the quota broke first on
     # nine of these days, and on one or more of them it depended on what had been rented.
     _breaks("ran_twice", range(20, 32), jobs=30, prepare=prepare, kind=WithoutMaxima)
@@ -118,7 +118,7 @@
 
 
 def test_ignoring_the_maximum_breaks_the_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Maxima, "most", lambda self, job, count: count)
+    monkeypatch.setattr(gates.Maxima, "max_starts", lambda self, job, count: count)
     _breaks("quota", troubled=False, jobs=30)
 
 
@@ -129,12 +129,12 @@
 
 
 def test_ignoring_zones_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Zones, "sites", lambda self, job, sites: sites)
+    monkeypatch.setattr(gates.Zones, "allowed_zones", lambda self, job, sites: sites)
     _breaks("wrong_place", troubled=False, jobs=25)
 
 
 def test_not_killing_aborted_work_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = reports.orders
+    plain = reports.build_orders
 
     def lenient(*args: Any, **kwargs: Any) -> list[dict[str, Any]]:
         return [o for o in plain(*args, **kwargs) if o["order"] != "kill"]
@@ -150,7 +150,7 @@
 
 def test_answering_404_from_memory_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     async def hasty(self: intake.Intake, name: str) -> intake.Answer:
-        if self.term is not None and self.term.live():
+        if self.term is not None and self.term.is_serving():
             return await self.lead("status", name)
         return intake.UNKNOWN
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -104,7 +104,7 @@
     try:
         for daemon in daemons:
             await daemon.start()
-        await _until(lambda: any(d.node.term and d.node.term.live() for d in daemons))
+        await _until(lambda: any(d.node.term and d.node.term.is_serving() for d in daemons))
         await _until(lambda: all(d.node.up() and d.node.flavors for d in daemons))
         yield daemons, client
     finally:
@@ -179,7 +179,7 @@
             assert b"chalkgrade_leading 1.0" in page.body
             assert b'chalkgrade_tasks_standing{class="c",reason=' in page.body
             await leader.stop()
-            await _until(lambda: follower.node.term is not None and follower.node.term.live())
+            await _until(lambda: follower.node.term is not None and follower.node.term.is_serving())
             reply = await client.call(at, "GET", "/v2/runs/run-000001", None, 9.0)
             assert json.loads(reply.body)["status"] == "pending"
             with pytest.raises(NoAnswer):
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -408,7 +408,7 @@
 
 
 def _not_believed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Term, "believe", lambda self, told: None)
+    patch.setattr(Term, "apply_reported_cancellations", lambda self, told: None)
 
 
 @pytest.mark.parametrize("bug", [None, _nothing_listed, _not_believed])
@@ -488,7 +488,7 @@
         assert leader is not None and leader.term is not None
         world.store.outage(8.0)
         await asyncio.sleep(4.0)
-        leader.term.believe({name})
+        leader.term.apply_reported_cancellations({name})
         await _until(world, 10.0, lambda: not world.of_job(name))
         await _until(world, 60.0, lambda: len(world.of_job(name)) == 4)
         assert leader.leadership.acting()
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -56,12 +56,14 @@
     floor = SimpleNamespace(
         now=now, slots=slots, full=[], zones={"north"}, fleet=fleet, fitting=lambda spec: order
     )
-    gates = SimpleNamespace(sites=lambda job, zones: zones, able=lambda job, count: count)
+    gates = SimpleNamespace(
+        allowed_zones=lambda job, zones: zones, max_demand=lambda job, count: count
+    )
     maxima = SimpleNamespace(teams={})
     rooms = [(1.0, 0.0, 2.0), room]
     parts: Any = (floor, None, gates, maxima, KeptRoom(), rooms, True)
     MakingRoom(*parts).drain(_job("w-1", 4, room=room), 1)
-    return [slot.name for slot in slots if slot.kept_for]
+    return [slot.name for slot in slots if slot.reserved_for]
 
 
 def test_a_machine_that_empties_for_a_queue_stays_the_same() -> None:
@@ -69,7 +71,7 @@
 
     Only so long as it has room about as soon as others, and none is remembered for ever.
     """
-    machines = {name: SimpleNamespace(drains=("", 0.0)) for name in ("m-1", "m-2")}
+    machines = {name: SimpleNamespace(kept_for_queue=("", 0.0)) for name in ("m-1", "m-2")}
     assert _drained(100.0, {"m-1": 3.0, "m-2": 4.0}, machines) == ["m-1"]
     assert _drained(101.0, {"m-1": 6.0, "m-2": 3.0}, machines) == ["m-1"]
     late = 4.0 + constants.DRAIN_STAY_S
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -65,16 +65,16 @@
 
     def begin(self) -> None:
         self.clock.at += 1.0
-        self.gate.begin(self.jobs, self.clock.at)
+        self.gate.begin_round(self.jobs, self.clock.at)
 
     def start(self, job: Job) -> Attempt | None:
         """As a round does: ask, place, tell."""
-        if not self.gate.ready(job) or not job.startable or self.gate.most(job, 1) < 1:
+        if not self.gate.is_ready(job) or not job.startable or self.gate.max_starts(job, 1) < 1:
             return None
         index = job.waiting.first(set())
         assert index is not None
         attempt = job.place(index, "m")
-        self.gate.took(job, "a")
+        self.gate.on_placed(job, "a")
         return attempt
 
     def held(self, pool: str) -> int:
@@ -85,7 +85,7 @@
     def end(self, job: Job) -> None:
         for attempt in list(job.live.values())[:1]:
             job.finish(attempt, True)
-            self.gate.gave(attempt)
+            self.gate.on_released(attempt)
 
 
 class GateMachine(RuleBasedStateMachine):
@@ -115,7 +115,7 @@
         # Whoever asked last and was refused lacks a seat: nothing is kept from a lone asker
         # for longer than others' right of way, which lapses by turns.
         for job in asked:
-            if job.startable and bench.gate.why(job):
+            if job.startable and bench.gate.refusal_reason(job):
                 assert bench.gate.needs.of(job.spec)
 
     @precondition(lambda self: any(job.live for job in self.bench.jobs))
@@ -170,7 +170,7 @@
         bench.begin()
         for job in [j for j in bench.jobs if j is not large]:
             bench.start(job)
-        if bench.gate.most(large, large.spec.tasks) == large.spec.tasks:
+        if bench.gate.max_starts(large, large.spec.tasks) == large.spec.tasks:
             return number
     return rounds
 
@@ -208,13 +208,13 @@
 
     preempt, guaranteed = True, False
 
-    def may_stop(self, attempt: Attempt, job: Job) -> bool:
+    def may_preempt(self, attempt: Attempt, job: Job) -> bool:
         return attempt.job.spec.rank < job.spec.rank
 
-    def loss(self, attempt: Attempt) -> float:
+    def preemption_loss(self, attempt: Attempt) -> float:
         return 1.0 if attempt.job.spec.savepointS else 15.0
 
-    def worth(self, job: Job) -> float:
+    def max_preemption_loss(self, job: Job) -> float:
         return 20.0
 
     def stop(self, attempts: Any, job: Job) -> None:
@@ -230,8 +230,8 @@
     urgent = bench.job("one", 1, urgency="high", dueS=20.0)  # others run for 10 s
     bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
     bench.begin()
-    assert bench.start(urgent) is None and bench.gate.ready(urgent)
-    assert bench.gate.why(urgent) == SEAT
+    assert bench.start(urgent) is None and bench.gate.is_ready(urgent)
+    assert bench.gate.refusal_reason(urgent) == SEAT
     return bench, low, urgent
 
 
@@ -242,20 +242,20 @@
 def test_urgent_work_gets_the_seat_of_what_loses_least_and_only_one() -> None:
     bench, low, urgent = _urgent()
     for _ in range(3):  # a round asks several times
-        bench.gate.make_way(urgent, Stops())  # type: ignore[arg-type]
+        bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
     assert _stopped(bench) == [low[1].name]  # it saves
     bench.begin()
-    bench.gate.make_way(urgent, Stops())  # type: ignore[arg-type]
+    bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
     assert _stopped(bench) == [low[1].name]  # a seat is on its way
     peer = bench.job("one", 1, urgency="best_effort")
     bench.begin()
-    assert not bench.gate.ready(peer)  # the same urgency never preempts
+    assert not bench.gate.is_ready(peer)  # the same urgency never preempts
 
 
 def test_a_stop_is_taken_back_if_the_seat_came_free_meanwhile() -> None:
     for sent in (False, True):
         bench, low, urgent = _urgent()
-        bench.gate.make_way(urgent, Stops())  # type: ignore[arg-type]
+        bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
         attempt = next(iter(low[1].live.values()))
         attempt.kill_sent = sent
         bench.end(low[0])  # its seat comes free by itself
@@ -267,8 +267,8 @@
 def test_nothing_is_stopped_that_loses_too_much_or_helps_nobody() -> None:
     bench, _, urgent = _urgent()
     dear = Stops()
-    dear.worth = lambda job: 0.5  # type: ignore[method-assign]
-    bench.gate.make_way(urgent, dear)  # type: ignore[arg-type]
+    dear.max_preemption_loss = lambda job: 0.5  # type: ignore[method-assign]
+    bench.gate.preempt_for(urgent, dear)  # type: ignore[arg-type]
     assert not _stopped(bench)
     both = bench.job("both", 1, urgency="high", dueS=20.0)  # q is held by work of the same urgency
     holder = bench.job("other", 1, urgency="high")
@@ -276,7 +276,7 @@
     assert bench.start(holder)
     bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
     bench.begin()
-    bench.gate.make_way(both, Stops())  # type: ignore[arg-type]
+    bench.gate.preempt_for(both, Stops())  # type: ignore[arg-type]
     assert not _stopped(bench)
 
 
@@ -413,7 +413,7 @@
     assert bench.start(job)
     bench.usable["p"] = Usable(0, fresh=False)
     bench.begin()
-    assert bench.start(late) is None and bench.gate.why(late) == SERVER
+    assert bench.start(late) is None and bench.gate.refusal_reason(late) == SERVER
     assert not _stopped(bench)
 
 
@@ -434,7 +434,7 @@
 
 def test_a_gate_that_counts_wrongly_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """If a seat is given back before its attempt is surely absent, more than three run."""
-    plain = SeatGate.begin
+    plain = SeatGate.begin_round
 
     def hasty(self: SeatGate, jobs: Any, now: float) -> None:
         known = list(jobs)
@@ -445,7 +445,7 @@
                 self.free[pool] += seats * sent
                 self._open[pool] += seats * sent
 
-    monkeypatch.setattr(SeatGate, "begin", hasty)
+    monkeypatch.setattr(SeatGate, "begin_round", hasty)
     days = (experiment.figures(experiment.play(seed, True, False)) for seed in range(8))
     assert any(found["failed_for_want_of_seat"] for found in days)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 import pytest
 
 from chalkgrade.machines.fleet import Fleet, Machine
-from chalkgrade.machines.hearing import Hearing
+from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.membership.fitness import CLOUD
 from chalkgrade.record.jobs import Job
 from chalkgrade.region.rules import Broken
@@ -272,7 +272,7 @@
 
 def _counts_what_it_heard_of(patch: Patch) -> None:
     """Attempts on machines that have not reported them to this leader do not count."""
-    plain = Maxima.begin
+    plain = Maxima.begin_round
 
     def begin(self: Maxima, jobs: Iterable[Job], now: float) -> None:
         every = list(jobs)
@@ -283,16 +283,16 @@
                     left = minus(self.used[job.spec.owner], job.spec.room)
                     self.used[job.spec.owner] = left
 
-    patch.setattr(Maxima, "begin", begin)
+    patch.setattr(Maxima, "begin_round", begin)
 
 
 def _counts_no_cancelled(patch: Patch) -> None:
-    plain = Maxima.begin
+    plain = Maxima.begin_round
 
     def begin(self: Maxima, jobs: Iterable[Job], now: float) -> None:
         plain(self, [job for job in jobs if not job.cancelled], now)
 
-    patch.setattr(Maxima, "begin", begin)
+    patch.setattr(Maxima, "begin_round", begin)
 
 
 def _over_once_cancelled(patch: Patch) -> None:
@@ -305,8 +305,8 @@
         last = machine.reported_at if machine.reported_at is not None else machine.known_at
         return self._clock.now() - last > 3.0
 
-    patch.setattr(Fleet, "lapsed", lapsed)
-    patch.setattr(Fleet, "expired", lapsed)
+    patch.setattr(Fleet, "is_own_lease_over", lapsed)
+    patch.setattr(Fleet, "is_lease_over", lapsed)
 
 
 @pytest.mark.parametrize("how", [("back",), ("given", "ended", "back")], ids=len)
@@ -331,6 +331,6 @@
 
 def test_room_that_stays_counted_on_deaf_machines_is_found(monkeypatch: Patch) -> None:
     """What was so before: only silence was a reason to return a machine with cancelled work."""
-    monkeypatch.setattr(Hearing, "deaf", property(lambda self: False))
+    monkeypatch.setattr(ResponseTracker, "responses_lost", property(lambda self: False))
     spell = _play(1, "deaf", ("back",))
     assert all(at - spell.gone_at[owner] > PROVED_S for owner, at in spell.used_at.items())
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -231,24 +231,24 @@
 
 def _forgets_attempts(patch: Patch) -> None:
     """A new leader does not put on the machines what earlier ones launched."""
-    plain = Fleet.hold
+    plain = Fleet.attach_attempt
 
     def hold(self: Fleet, attempt: Any) -> None:
         if attempt.decided:
             plain(self, attempt)
 
-    patch.setattr(Fleet, "hold", hold)
+    patch.setattr(Fleet, "attach_attempt", hold)
 
 
 def _forgets_who_is_gone(patch: Patch) -> None:
-    plain = Fleet.drop
+    plain = Fleet.remove_machine
 
     def drop(self: Fleet, machine: Any) -> Any:
         lost = plain(self, machine)
         self.gone.pop(machine.name)
         return lost
 
-    patch.setattr(Fleet, "drop", drop)
+    patch.setattr(Fleet, "remove_machine", drop)
 
 
 BUGS: list[tuple[str, Callable[[Patch], None], str]] = [
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 from chalkgrade.experiments import meetings, shrinking
 from chalkgrade.experiments.meetings import Maker
 from chalkgrade.experiments.met import Meet
-from chalkgrade.leading.reports import Reports
+from chalkgrade.leading.reports import ReportHandler
 from chalkgrade.leading.term import Term
 from chalkgrade.machines.fleet import Fleet, Machine
 from chalkgrade.region import day as days
@@ -98,7 +98,7 @@
 
 def _answers_while_it_shelters(patch: Patch) -> None:
     """A leader that only keeps its workers tells users what its book says."""
-    patch.setattr(Term, "live", lambda self: self.ready and self.leadership.token > 0)
+    patch.setattr(Term, "is_serving", lambda self: self.ready and self.leadership.token > 0)
 
 
 def _tells_before_it_is_durable(patch: Patch) -> None:
@@ -121,21 +121,21 @@
         last = machine.reported_at if machine.reported_at is not None else machine.known_at
         return self._clock.now() - last > self.lease_s / 3
 
-    patch.setattr(Fleet, "lapsed", lapsed)
-    patch.setattr(Fleet, "expired", lapsed)
+    patch.setattr(Fleet, "is_own_lease_over", lapsed)
+    patch.setattr(Fleet, "is_lease_over", lapsed)
 
 
 def _live_is_done(patch: Patch) -> None:
     """A new leader takes attempts whose machine does not report them for completed."""
-    plain = Reports._reconcile
+    plain = ReportHandler._reconcile
 
-    def reconcile(self: Reports, machine: Machine) -> None:
+    def reconcile(self: ReportHandler, machine: Machine) -> None:
         for key, attempt in list(machine.attempts.items()):
             if key not in machine.tasks and not attempt.decided:
-                self.ended(machine, attempt, "done")
+                self.on_attempt_ended(machine, attempt, "done")
         plain(self, machine)
 
-    patch.setattr(Reports, "_reconcile", reconcile)
+    patch.setattr(ReportHandler, "_reconcile", reconcile)
 
 
 BUGS = [
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -164,7 +164,7 @@
                 self.on_ended(None, attempt, "")
 
     monkeypatch.setattr(part.Moves, "_advance", hasty)
-    monkeypatch.setattr(Machine, "strangers", lambda self: [])  # the second net under it
+    monkeypatch.setattr(Machine, "unknown_tasks", lambda self: [])  # the second net under it
     for seed in range(8):
         try:
             experiment.play(seed, on=True, faults=False, large=1)
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from chalkgrade.machines.placement import zones_open
+from chalkgrade.machines.placement import eligible_zones
 from chalkgrade.record.jobs import Invalid, parse_submission
 from chalkgrade.region.askers import NEEDED
 from chalkgrade.region.rules import Broken
@@ -156,9 +156,9 @@
 def test_both_zone_rules_of_a_job_hold_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """All in one zone, and at most half of all in any: found by reading; half runs at a time."""
     both = made(oneZone=True, spread=True, tasks=4)
-    assert zones_open(both, {"a": 1}, ["a", "b"]) == {"a"}
-    assert zones_open(both, {"a": 2}, ["a", "b"]) == set()
-    assert zones_open(both, {}, ["a", "b"]) == {"a", "b"}
+    assert eligible_zones(both, {"a": 1}, ["a", "b"]) == {"a"}
+    assert eligible_zones(both, {"a": 2}, ["a", "b"]) == set()
+    assert eligible_zones(both, {}, ["a", "b"]) == {"a", "b"}
 
     def one_of_them(spec: Any, held: dict[str, int], zones: Any) -> set[str]:
         used = {zone for zone, count in held.items() if count}
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -11,7 +11,7 @@
 from chalkgrade.cli import main
 from chalkgrade.experiments import troubles
 from chalkgrade.machines.fleet import Fleet, Report
-from chalkgrade.machines.hearing import Hearing
+from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX
 from chalkgrade.region.loop import HandClock, VirtualLoop
@@ -28,22 +28,22 @@
 def test_a_machine_is_deaf_by_evidence_only() -> None:
     """Three answers in a row, or a session's; held answers and silence prove nothing."""
     key = (1, 1)
-    heard = Hearing()
+    heard = ResponseTracker()
     for number in range(2, 9):
-        heard.answers(key, 100.0, 104.0)  # held for four seconds: it came too late anyway
+        heard.on_response_sent(key, 100.0, 104.0)  # held for four seconds: it came too late anyway
         key = (1, number)
-        heard.reported(key, False, set(), 104.0 + number, LEASE_S)
-    assert not heard.deaf
+        heard.on_report(key, False, set(), 104.0 + number, LEASE_S)
+    assert not heard.responses_lost
     for number in range(9, 12):
-        assert not heard.deaf
-        heard.answers(key, 200.0, 200.1)
+        assert not heard.responses_lost
+        heard.on_response_sent(key, 200.0, 200.1)
         key = (1, number)
-        heard.reported(key, False, set(), 200.0 + number, LEASE_S)
-    assert heard.deaf
-    heard.launched.add(("run-1/0", 1))
-    heard.answers(key, 300.0, 300.0)
-    heard.reported((1, 99), True, {("run-1/0", 1)}, 303.0, LEASE_S)
-    assert not heard.deaf  # it lists what was launched
+        heard.on_report(key, False, set(), 200.0 + number, LEASE_S)
+    assert heard.responses_lost
+    heard.launch_orders_sent.add(("run-1/0", 1))
+    heard.on_response_sent(key, 300.0, 300.0)
+    heard.on_report((1, 99), True, {("run-1/0", 1)}, 303.0, LEASE_S)
+    assert not heard.responses_lost  # it lists what was launched
 
 
 @pytest.mark.parametrize("case", ["few", "zone", "new leader"])
@@ -88,7 +88,7 @@
 def test_a_deaf_machine_given_one_attempt_after_another_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Hearing, "deaf", property(lambda self: False))
+    monkeypatch.setattr(ResponseTracker, "responses_lost", property(lambda self: False))
     with pytest.raises(AssertionError):
         test_machines_that_hear_nothing_lose_their_work_to_others_and_come_back("few")
 
@@ -102,19 +102,19 @@
     clock = HandClock()
     young = Fleet(clock, 50, LEASE_S, REPORT_S)
     made = Report("host-9", 2, 40, 41, "quad", "a")
-    machine = young.take(made)
+    machine = young.accept_report(made)
     assert machine is not None and not young.usable(machine)
-    assert young.take(made) is None and not young.usable(machine)
-    assert young.take(Report("host-9", 2, 41, 41, "quad", "a")) is machine
+    assert young.accept_report(made) is None and not young.usable(machine)
+    assert young.accept_report(Report("host-9", 2, 41, 41, "quad", "a")) is machine
     assert not young.usable(machine)
     machine.listed_at = clock.now()
     assert young.usable(machine)
-    new = young.take(Report("host-10", 1, 1, 0, "quad", "a"))
+    new = young.accept_report(Report("host-10", 1, 1, 0, "quad", "a"))
     assert new is not None and not young.usable(new)
-    assert young.take(Report("host-10", 1, 2, 50, "quad", "a")) is new
+    assert young.accept_report(Report("host-10", 1, 2, 50, "quad", "a")) is new
     assert young.usable(new)  # it has heard us, so it is there
-    young.machine("host-11", "quad", "a", True).hired = True
-    hired = young.take(Report("host-11", 1, 1, 0, "quad", "a"))
+    young.get_or_add("host-11", "quad", "a", True).rented_this_term = True
+    hired = young.accept_report(Report("host-11", 1, 1, 0, "quad", "a"))
     assert hired is not None and young.usable(hired)  # rented by us: no report is older
 
 
@@ -166,7 +166,7 @@
 
             def moved(heir: Any = heir, there: set[str] = there) -> bool:
                 seen = heir.term.fleet.machines
-                fresh = [n for n in there & world.workers.keys() if n in seen and seen[n].baton]
+                fresh = [n for n in there & world.workers.keys() if n in seen and seen[n].token]
                 return len(fresh) >= 0.9 * len(there & world.workers.keys())
 
             await _until(world, 9.0, moved)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -458,7 +458,7 @@
 
 def _not_held(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Job, "hold", lambda self: None)
-    monkeypatch.setattr(pipelines_part._Ready, "ready", lambda self, job: True)
+    monkeypatch.setattr(pipelines_part._Ready, "is_ready", lambda self, job: True)
 
 
 def _never_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_placement_rentals.py
+++ b/tests/test_placement_rentals.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from chalkgrade.machines.kinds import Flavor
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.placement import (
     Occupant,
-    Offers,
-    Picker,
+    PreemptionOffers,
     Slot,
-    choose,
-    choose_all,
-    occupy,
-    victims,
-    wait_s,
-    zones_open,
+    SlotPicker,
+    choose_gang_slots,
+    choose_slot,
+    eligible_zones,
+    occupy_slot,
+    room_wait_s,
+    select_victims,
 )
 from chalkgrade.record.jobs import JobSpec
 from chalkgrade.renting import plan
@@ -61,43 +61,43 @@
 
 def test_a_held_image_beats_a_tighter_fit_and_tight_beats_empty() -> None:
     slots = [slot("empty"), slot("tight", 1.0), slot("holds", images={"img"})]
-    assert choose(spec(), slots, {"a"}).name == "holds"  # type: ignore[union-attr]
-    assert choose(spec(), slots[:2], {"a"}).name == "tight"  # type: ignore[union-attr]
-    assert choose(spec(), slots, {"b"}) is None
-    assert choose(spec(standby=False), slots, {"a"}) is None
+    assert choose_slot(spec(), slots, {"a"}).name == "holds"  # type: ignore[union-attr]
+    assert choose_slot(spec(), slots[:2], {"a"}).name == "tight"  # type: ignore[union-attr]
+    assert choose_slot(spec(), slots, {"b"}) is None
+    assert choose_slot(spec(standby=False), slots, {"a"}) is None
 
 
 def test_zones() -> None:
-    assert zones_open(spec(oneZone=True), {"a": 1}, ["a", "b"]) == {"a"}
-    assert zones_open(spec(spread=True), {"a": 2}, ["a", "b"]) == {"b"}
+    assert eligible_zones(spec(oneZone=True), {"a": 1}, ["a", "b"]) == {"a"}
+    assert eligible_zones(spec(spread=True), {"a": 2}, ["a", "b"]) == {"b"}
     # A task somewhere unknown may be in either zone.
-    assert zones_open(spec(spread=True), {"a": 1, "": 1}, ["a", "b"]) == {"b"}
+    assert eligible_zones(spec(spread=True), {"a": 1, "": 1}, ["a", "b"]) == {"b"}
 
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
     slots = [slot("one", 2.0), slot("two", 1.0)]
-    assert choose_all(spec(), 4, slots, {}) is None
+    assert choose_gang_slots(spec(), 4, slots, {}) is None
     assert [s.free[0] for s in slots] == [2.0, 1.0]
-    found = choose_all(spec(), 3, slots, {})
+    found = choose_gang_slots(spec(), 3, slots, {})
     assert found is not None
     assert sorted(s.name for s in found) == ["one", "one", "two"]
 
 
 def test_room_is_made_by_the_least_loss_among_lower_priorities_only() -> None:
     full = slot("m", 0.0, look=lambda: [busy("x", 0, 9, 5), busy("y", 0, 3, 1), busy("z", 2, 1, 0)])
-    found = victims(spec(), full, own=False)
+    found = select_victims(spec(), full, own=False)
     assert [victim.task for victim in found or []] == ["y"]
-    assert victims(spec(urgency="best_effort"), full, own=False) is None
-    assert victims(spec(), full, own=True) is None  # none of them is the team's own
-    assert wait_s(spec(vcpus=2.0), full) == 3
+    assert select_victims(spec(urgency="best_effort"), full, own=False) is None
+    assert select_victims(spec(), full, own=True) is None  # none of them is the team's own
+    assert room_wait_s(spec(vcpus=2.0), full) == 3
 
 
 def test_borrowed_room_returns_to_a_guarantee_but_no_more_than_was_borrowed() -> None:
     full = slot("m", 0.0, look=lambda: [busy("x", 1, 9, 5), busy("y", 1, 3, 1)])
     low = spec(urgency="best_effort", vcpus=2.0)
-    assert len(victims(low, full, own=False, excess={"blue": (2.0, 0.0)}) or []) == 2
-    assert victims(low, full, own=False, excess={"blue": (1.0, 0.0)}) is None
-    assert victims(low, full, own=False, excess={}) is None
+    assert len(select_victims(low, full, own=False, excess={"blue": (2.0, 0.0)}) or []) == 2
+    assert select_victims(low, full, own=False, excess={"blue": (1.0, 0.0)}) is None
+    assert select_victims(low, full, own=False, excess={}) is None
 
 
 def test_rents_nothing_when_cpus_come_free_in_time() -> None:
@@ -140,14 +140,14 @@
         twins = [replace(s, fetching=set(s.fetching)) for s in many]
         job = spec(vcpus=rng.choice([0.5, 1.0, 2.0]), spread=rng.random() < 0.3, tasks=6)
         avoid = ["m1"] if rng.random() < 0.2 else []
-        picker, held, other = Picker(job, many, avoid), dict.fromkeys("ab", 0), {"a": 0, "b": 0}
+        picker, held, other = SlotPicker(job, many, avoid), dict.fromkeys("ab", 0), {"a": 0, "b": 0}
         for _ in range(6):
-            found = picker.take(lambda _: True, zones_open(job, held, "ab"))
-            plain = choose(job, twins, zones_open(job, other, "ab"), avoid)
+            found = picker.take_best(lambda _: True, eligible_zones(job, held, "ab"))
+            plain = choose_slot(job, twins, eligible_zones(job, other, "ab"), avoid)
             assert (found and found.name) == (plain and plain.name)
             if found is None or plain is None:
                 break
-            occupy(plain, job)
+            occupy_slot(plain, job)
             held[found.site] += 1
             other[plain.site] += 1
 
@@ -156,13 +156,13 @@
     slots = [
         slot(f"m{lost}", 0.0, look=lambda lost=lost: [busy("x", 0, 9, lost)]) for lost in (5, 2, 9)
     ]
-    offers = Offers(spec(), slots, False, None)
-    assert offers.take(lambda s: s.name != "m2", 4) is None
-    taken = offers.take(lambda s: True, 4)
+    offers = PreemptionOffers(spec(), slots, False, None)
+    assert offers.take_cheapest(lambda s: s.name != "m2", 4) is None
+    taken = offers.take_cheapest(lambda s: True, 4)
     assert taken is not None and taken[0].name == "m2"
     for victim in taken[1]:
         victim.stopping = True
-    taken = offers.take(lambda s: True, 8)
+    taken = offers.take_cheapest(lambda s: True, 8)
     assert taken is not None and taken[0].name == "m5"
 
 
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -143,16 +143,16 @@
 
 def _only_its_own(patch: Patch) -> None:
     """Machines that this leader did not rent are nobody's."""
-    plain = Fleet.take
+    plain = Fleet.accept_report
 
     def take(self: Fleet, report: Any) -> Any:
         known = self.machines.get(report.host)
-        return plain(self, report) if known is not None and known.hired else None
+        return plain(self, report) if known is not None and known.rented_this_term else None
 
     async def refresh(self: Renter) -> None:
         pass
 
-    patch.setattr(Fleet, "take", take)
+    patch.setattr(Fleet, "accept_report", take)
     patch.setattr(Renter, "_refresh_list", refresh)
 
 
--- a/tests/test_reports_at_start.py
+++ b/tests/test_reports_at_start.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from chalkgrade.leading.scheduling import Scheduling
+from chalkgrade.leading.scheduling import RoundScheduler
 from chalkgrade.leading.term import Term
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.hearing import Hearing
+from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.sharing.queues import Queues
@@ -54,7 +54,7 @@
 
 def _any_end(patch: Patch) -> None:
     """What was done before: whatever a report lists as ended is over."""
-    patch.setattr(Fleet, "over", lambda self, machine, attempt, cause: True)
+    patch.setattr(Fleet, "is_surely_ended", lambda self, machine, attempt, cause: True)
 
 
 @pytest.mark.parametrize("bug", [False, True])
@@ -106,13 +106,13 @@
 
 
 def _no_doubt(patch: Patch) -> None:
-    patch.setattr(Fleet, "doubtful", lambda self, machine: False)
+    patch.setattr(Fleet, "is_unconfirmed", lambda self, machine: False)
 
 
 def _doubted_once(patch: Patch) -> None:
     """What was done before: two reports, or one without a token, were enough."""
     seen: dict[str, int] = {}
-    plain = Fleet.take
+    plain = Fleet.accept_report
 
     def take(self: Fleet, report: Any) -> Any:
         machine = plain(self, report)
@@ -122,10 +122,10 @@
 
     def doubtful(self: Fleet, machine: Any) -> bool:
         few = seen.get(machine.name, 0) < 2
-        return machine.listed_at is None and few and machine.baton not in (0, self.token)
+        return machine.listed_at is None and few and machine.token not in (0, self.token)
 
-    patch.setattr(Fleet, "take", take)
-    patch.setattr(Fleet, "doubtful", doubtful)
+    patch.setattr(Fleet, "accept_report", take)
+    patch.setattr(Fleet, "is_unconfirmed", doubtful)
 
 
 @pytest.mark.parametrize("bug", [None, _no_doubt, _doubted_once])
@@ -169,13 +169,13 @@
 
 def _never_cleared(patch: Patch) -> None:
     """What was done before: that a report shows our token said nothing of the way back."""
-    plain = Hearing.reported
+    plain = ResponseTracker.on_report
 
-    def reported(self: Hearing, *args: Any) -> None:
-        self._ours = True
+    def reported(self: ResponseTracker, *args: Any) -> None:
+        self._has_shown_token = True
         plain(self, *args)
 
-    patch.setattr(Hearing, "reported", reported)
+    patch.setattr(ResponseTracker, "on_report", reported)
 
 
 @pytest.mark.parametrize("bug", [False, True])
@@ -192,11 +192,15 @@
         copies = [world.workers[name].report() for _ in range(4) for name in names]
         term = await _new_term(world)
         await _give(world, copies)
-        taken = [n for n in names if term.fleet.machines[n].hearing._unheard >= 2]
+        taken = [n for n in names if term.fleet.machines[n].response_tracker._lost_responses >= 2]
         assert taken  # answers to copies counted, until the machine itself was heard
         await asyncio.sleep(2 * world.REPORT_S)
         _told(world)
-        deaf = [n for n in names if n in world.workers and term.fleet.machines[n].hearing.deaf]
+        deaf = [
+            n
+            for n in names
+            if n in world.workers and term.fleet.machines[n].response_tracker.responses_lost
+        ]
         assert not deaf, "deaf"
 
     if bug:
@@ -260,13 +264,13 @@
 
     monkeypatch.setattr(Queues, "observe_run", observe_run)
     if bug:
-        before = Scheduling.on_ended
+        before = RoundScheduler.on_ended
 
-        def on_ended(self: Scheduling, machine: Any, attempt: Any, cause: str) -> None:
+        def on_ended(self: RoundScheduler, machine: Any, attempt: Any, cause: str) -> None:
             attempt.decided = attempt.decided or 1.0
             before(self, machine, attempt, cause)
 
-        monkeypatch.setattr(Scheduling, "on_ended", on_ended)
+        monkeypatch.setattr(RoundScheduler, "on_ended", on_ended)
 
     async def story(world: World) -> None:
         for number in range(1, 5):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -281,16 +281,16 @@
     )
     fleet = Fleet(clock, 40, 12.0, 3.0)
     earlier = Attempt(job, 0, 1, "host-1", 0)  # read from the record
-    fleet.hold(earlier)
+    fleet.attach_attempt(earlier)
     own = Attempt(job, 1, 1, "host-1", 0)
     own.decided = clock.now()
-    fleet.hold(own)
-    machine = fleet.take(Report("host-1", 1, 1, 0, "small", "a"))
+    fleet.attach_attempt(own)
+    machine = fleet.accept_report(Report("host-1", 1, 1, 0, "small", "a"))
     assert machine is not None
-    assert not fleet.absent(machine, earlier)
-    assert fleet.absent(machine, own)  # nobody has launched it yet
-    assert fleet.take(Report("host-1", 1, 2, 40, "small", "a")) is machine
-    assert fleet.absent(machine, earlier)
+    assert not fleet.is_surely_absent(machine, earlier)
+    assert fleet.is_surely_absent(machine, own)  # nobody has launched it yet
+    assert fleet.accept_report(Report("host-1", 1, 2, 40, "small", "a")) is machine
+    assert fleet.is_surely_absent(machine, earlier)
 
 
 class _Held:
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -10,18 +10,18 @@
 import pytest
 
 import chalkgrade
+from chalkgrade.extensions.components import Component, Sample, gauge
+from chalkgrade.extensions.constraints import StartConstraint
 from chalkgrade.leading import term as leading
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.record.changes import Kept
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, gauge
 from chalkgrade.sharing import gates
 
 # A package may take from those before it, and from the modules at the root.
-ORDER = ("state", "membership", "record", "machines", "seams", "pipelines", "sharing")
+ORDER = ("state", "membership", "record", "machines", "extensions", "pipelines", "sharing")
 ORDER += ("renting", "licences", "moves", "leading", "serving", "region", "experiments")
 
 
@@ -38,32 +38,32 @@
             assert ORDER.index(taken[0]) <= ORDER.index(here[0]), f"{path}: {node.module}"
 
 
-class _Pool(Gate):
+class _Pool(StartConstraint):
     """Two of all tasks at once, whatever room there is."""
 
     def __init__(self) -> None:
         self.free = 0
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.free = 2 - sum(len(job.live) for job in jobs)
 
-    def most(self, job: Job, count: int) -> int:
+    def max_starts(self, job: Job, count: int) -> int:
         return max(0, min(count, self.free))
 
-    def took(self, job: Job, site: str) -> None:
+    def on_placed(self, job: Job, site: str) -> None:
         self.free -= 1
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         return "" if self.free > 0 else "two run"
 
 
-class _Two(Part):
+class _Two(Component):
     """A subsystem with all that a part can have."""
 
     def __init__(self) -> None:
-        self.gates = [_Pool()]
+        self.start_constraints = [_Pool()]
         self.value: dict[str, int] = {"ended": 0}
-        self.kept = [Kept("cg/test/two", self._load, lambda: self.value)]
+        self.persisted_values = [Kept("cg/test/two", self._load, lambda: self.value)]
         self.heard: dict[str, int] = {}
 
     def _load(self, raw: bytes) -> None:
@@ -86,7 +86,7 @@
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
         self.value["ended"] += 1
-        self.kept[0].touch()
+        self.persisted_values[0].touch()
 
     def samples(self) -> Iterable[Sample]:
         yield gauge("two", "Tasks of the test", 2.0)
@@ -113,7 +113,7 @@
     def with_part(self: leading.Term, *args: Any) -> None:
         plain(self, *args)
         parts.append(_Two())
-        self.add(parts[-1])
+        self.add_component(parts[-1])
 
     monkeypatch.setattr(leading.Term, "__init__", with_part)
     return parts
@@ -141,7 +141,7 @@
 
 def test_a_gate_that_is_not_asked_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     _wired(monkeypatch)
-    monkeypatch.setattr(_Pool, "took", Gate.took)
+    monkeypatch.setattr(_Pool, "on_placed", StartConstraint.on_placed)
     with pytest.raises(Broken, match="pool"):
         play(5, seconds=60.0, jobs=12, troubled=False, kind=_TwoAtOnce)
 
@@ -161,12 +161,12 @@
             assert status == 201
             await asyncio.sleep(60.0)
             assert leader.term is not None
-            ended += leader.term.counts["error"]
+            ended += leader.term.ended_by_cause["error"]
 
         with monkeypatch.context() as patch:
             if not paused:
-                patch.setattr(gates.Pauses, "most", Gate.most)
-                patch.setattr(gates.Pauses, "ready", lambda self, job: not job.aborted)
+                patch.setattr(gates.Pauses, "max_starts", StartConstraint.max_starts)
+                patch.setattr(gates.Pauses, "is_ready", lambda self, job: not job.aborted)
             for seed in (6, 7):  # days on which the job meets several machines
                 tell(story, seed, loss=0.0)
         return ended
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -11,8 +11,8 @@
 from chalkgrade.experiments import small_jobs
 from chalkgrade.latest import Latest
 from chalkgrade.leading import images
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.record.changes import Over
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.record.writer import Writer
@@ -107,5 +107,5 @@
     machine = Machine("host-1", "small", "a", False, 0.0)
     for number in range(100):
         machine.image_gb[f"img-{number}"] = 1.0
-        images.holds(machine, f"img-{number}", flavor, clock)
+        images.record_image_use(machine, f"img-{number}", flavor, clock)
     assert len(machine.images) == len(machine.image_gb) == 8
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -20,7 +20,7 @@
 import pytest
 from msgspec.structs import replace
 
-from chalkgrade.machines.placement import Occupant, Slot, victims
+from chalkgrade.machines.placement import Occupant, Slot, select_victims
 from chalkgrade.renting.headroom import NEVER, Headroom, Lane
 from chalkgrade.renting.plan import Have, Need, plan_rent
 from chalkgrade.renting.report import PlanReport
@@ -102,21 +102,29 @@
 
 
 def _occupant(guarded: bool, owner: str = "red") -> Occupant:
-    return Occupant("a/0", 1, owner, 1, (1.0, 0.0, 4.0), 9.0, 0.5, guarded=guarded)
+    return Occupant("a/0", 1, owner, 1, (1.0, 0.0, 4.0), 9.0, 0.5, is_protected=guarded)
 
 
 def _slot(occupant: Occupant) -> Slot:
-    return Slot("m", "small", "a", False, (0.0, 0.0, 0.0), (1.0, 0.0, 4.0), look=lambda: [occupant])
+    return Slot(
+        "m",
+        "small",
+        "a",
+        False,
+        (0.0, 0.0, 0.0),
+        (1.0, 0.0, 4.0),
+        load_occupants=lambda: [occupant],
+    )
 
 
 def test_urgent_work_does_not_stop_what_the_guard_against_starvation_started() -> None:
     urgent = spec(owner="red", urgency="high")
     for own in (True, False):
-        assert victims(urgent, _slot(_occupant(False)), own) is not None
-        assert victims(urgent, _slot(_occupant(True)), own) is None
+        assert select_victims(urgent, _slot(_occupant(False)), own) is not None
+        assert select_victims(urgent, _slot(_occupant(True)), own) is None
     # A guarantee is a promise to a team: what others have beyond theirs is given back to it.
     excess = {"blue": (1.0, 0.0)}
-    assert victims(urgent, _slot(_occupant(True, "blue")), False, excess) is not None
+    assert select_victims(urgent, _slot(_occupant(True, "blue")), False, excess) is not None
 
 
 @pytest.mark.parametrize("seed", [7, 11])
@@ -169,7 +177,7 @@
     making = MakingRoom(floor, nothing, nothing, maxima, nothing, [], True)
     for within_s in [0.0, *(rng.uniform(0.0, 70.0) for _ in range(100))]:
         for owner in ("red", "blue", "green"):
-            ends = [o.room for o in occupants if o.owner == owner and o.left_s <= within_s]
+            ends = [o.room for o in occupants if o.owner == owner and o.remaining_s <= within_s]
             plain = tuple(sum(room[part] for room in ends) for part in range(3))
-            assert making.ending(owner, within_s) == pytest.approx(plain)
+            assert making.resources_ending(owner, within_s) == pytest.approx(plain)
     assert floor.asked == 1
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -8,7 +8,7 @@
 
 from chalkgrade import constants
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.placement import victims
+from chalkgrade.machines.placement import select_victims
 from chalkgrade.record.jobs import Job, JobValue
 from chalkgrade.record.oplog import OVER, Op, OpLog
 from chalkgrade.region.world import World, tell
@@ -22,7 +22,7 @@
 
 def _roles(world: World) -> tuple[Node, list[Node]]:
     up = [node for node in world.nodes.values() if node is not None]
-    leader = next(node for node in up if node.term is not None and node.term.live())
+    leader = next(node for node in up if node.term is not None and node.term.is_serving())
     return leader, [node for node in up if node is not leader]
 
 
@@ -44,7 +44,7 @@
 def _fail(job: Job, index: int, machine: Machine) -> None:
     attempt = job.place(index, machine.name)
     job.finish(attempt, False, failed=True)
-    machine.failed[job] = machine.failed.get(job, 0) + 1
+    machine.failures_by_job[job] = machine.failures_by_job.get(job, 0) + 1
 
 
 def test_a_faulty_job_condemns_no_machine_and_a_faulty_machine_no_job() -> None:
@@ -317,12 +317,15 @@
     assert grants["g/c"][0] == 0.0
     assert spare_order([guest, team], lambda d: 0.0 if d.guest else 1.0) == ["t/c", "g/c"]
     full = slot("m", 0.0)
-    full.seen = [busy("g/0", 2, 50.0, 3.0, owner="g"), busy("t/0", 0, 50.0, 1.0, owner="t")]
+    full.loaded_occupants = [
+        busy("g/0", 2, 50.0, 3.0, owner="g"),
+        busy("t/0", 0, 50.0, 1.0, owner="t"),
+    ]
     asker = spec(owner="red", urgency="standard")
-    found = victims(asker, full, False, {"g": (1.0, 0.0)}, borrowed_only=True)
+    found = select_victims(asker, full, False, {"g": (1.0, 0.0)}, borrowed_only=True)
     assert found is not None
     assert [mate.task for mate in found] == ["g/0"]
-    assert victims(asker, full, False, {}, borrowed_only=True) is None
+    assert select_victims(asker, full, False, {}, borrowed_only=True) is None
 
 
 POOL = ("small", "a", True)
