--- a/tests/test_placement_rentals.py
+++ b/tests/test_placement_rentals.py
@@ -84,7 +84,11 @@
 
 
 def test_room_is_made_by_the_least_loss_among_lower_priorities_only() -> None:
-    full = slot("m", 0.0, look=lambda: [busy("x", 0, 9, 5), busy("y", 0, 3, 1), busy("z", 2, 1, 0)])
+    full = slot(
+        "m",
+        0.0,
+        load_occupants=lambda: [busy("x", 0, 9, 5), busy("y", 0, 3, 1), busy("z", 2, 1, 0)],
+    )
     found = select_victims(spec(), full, own=False)
     assert [victim.task for victim in found or []] == ["y"]
     assert select_victims(spec(urgency="best_effort"), full, own=False) is None
@@ -93,7 +97,7 @@
 
 
 def test_borrowed_room_returns_to_a_guarantee_but_no_more_than_was_borrowed() -> None:
-    full = slot("m", 0.0, look=lambda: [busy("x", 1, 9, 5), busy("y", 1, 3, 1)])
+    full = slot("m", 0.0, load_occupants=lambda: [busy("x", 1, 9, 5), busy("y", 1, 3, 1)])
     low = spec(urgency="best_effort", vcpus=2.0)
     assert len(select_victims(low, full, own=False, excess={"blue": (2.0, 0.0)}) or []) == 2
     assert select_victims(low, full, own=False, excess={"blue": (1.0, 0.0)}) is None
@@ -133,7 +137,7 @@
                 rng.choice(["a", "b"]),
                 images={"img"} if rng.random() < 0.3 else set(),
                 fetching={"img"} if rng.random() < 0.2 else set(),
-                strain=rng.randrange(2),
+                recent_failures=rng.randrange(2),
             )
             for number in range(rng.randrange(1, 12))
         ]
@@ -154,7 +158,8 @@
 
 def test_offers_are_the_least_loss_and_are_not_made_twice() -> None:
     slots = [
-        slot(f"m{lost}", 0.0, look=lambda lost=lost: [busy("x", 0, 9, lost)]) for lost in (5, 2, 9)
+        slot(f"m{lost}", 0.0, load_occupants=lambda lost=lost: [busy("x", 0, 9, lost)])
+        for lost in (5, 2, 9)
     ]
     offers = PreemptionOffers(spec(), slots, False, None)
     assert offers.take_cheapest(lambda s: s.name != "m2", 4) is None
