--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -6,7 +6,7 @@
 from chalkgrade import constants
 from chalkgrade.leading import images
 from chalkgrade.leading.scheduling import RoundScheduler
-from chalkgrade.machines.fleet import Machine, Report, build_orders
+from chalkgrade.machines.fleet import Machine, Report, orders
 from chalkgrade.record.jobs import Attempt
 from chalkgrade.sharing.domain import Domain
 
@@ -61,7 +61,7 @@
         current = (machine.tenure, machine.seq) == (report.tenure, report.seq)
         machine.answered_at = self.clock.now()
         useless = machine.releasing or machine.response_tracker.responses_lost
-        answer["orders"] = build_orders(
+        answer["orders"] = orders(
             machine,
             self._forgettable_attempts(machine),
             self.clock,
--- a/src/chalkgrade/machines/fleet.py
+++ b/src/chalkgrade/machines/fleet.py
@@ -281,7 +281,7 @@
         return lost
 
 
-def build_orders(
+def orders(
     machine: Machine, forgettable: Iterable[tuple[str, int]], clock: Clock, launches: bool
 ) -> list[dict[str, Any]]:
     """The difference between the book and the last report of a machine."""
--- a/tests/test_absence_model.py
+++ b/tests/test_absence_model.py
@@ -17,7 +17,7 @@
     run_state_machine_as_test,
 )
 
-from chalkgrade.machines.fleet import Fleet, Machine, Report, TaskReport, build_orders
+from chalkgrade.machines.fleet import Fleet, Machine, Report, TaskReport, orders
 from chalkgrade.record.jobs import Attempt, Job, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.loop import HandClock
@@ -127,7 +127,7 @@
             ):
                 self.absent(machine, attempt)
         machine.answered_at = self.clock.at
-        found = build_orders(
+        found = orders(
             machine, [], self.clock, launches=not machine.response_tracker.responses_lost
         )
         machine.response_tracker.on_response_sent((made.tenure, made.seq), received, self.clock.at)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -295,7 +295,7 @@
 
 def test_a_machine_that_is_not_told_again_after_it_hung_is_found(monkeypatch: Patch) -> None:
     """A kill that was sent once, into an answer that was dropped, counts as executed."""
-    plain = fleet.build_orders
+    plain = fleet.orders
 
     def orders(machine: Machine, *args: Any, **more: Any) -> list[dict[str, Any]]:
         told = {key for key, attempt in machine.attempts.items() if attempt.kill_sent}
@@ -475,7 +475,7 @@
     monkeypatch: Patch,
 ) -> None:
     """An answer that may launch nothing has no orders at all."""
-    plain = fleet.build_orders
+    plain = fleet.orders
 
     def orders(*args: Any, launches: bool) -> list[dict[str, Any]]:
         return plain(*args, launches=launches) if launches else []
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -394,7 +394,7 @@
 
 def _kills_for_some_seconds(patch: Patch) -> None:
     """What was told to stop for five seconds counts as stopped, whether or not it could hear."""
-    plain = reports.build_orders
+    plain = reports.orders
 
     def orders(machine: Machine, *args: Any, **named: Any) -> list[dict[str, Any]]:
         now = args[1].now()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -134,7 +134,7 @@
 
 
 def test_not_killing_aborted_work_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = reports.build_orders
+    plain = reports.orders
 
     def lenient(*args: Any, **kwargs: Any) -> list[dict[str, Any]]:
         return [o for o in plain(*args, **kwargs) if o["order"] != "kill"]
