--- a/src/chalkgrade/extensions/__init__.py
+++ b/src/chalkgrade/extensions/__init__.py
@@ -1,5 +1,5 @@
-"""Where new subsystems join: what a start takes, and what a term is made of.
+"""Extension points for subsystems of the scheduler.
 
-`gates` is asked by each round whether a task may start; `parts` is how a term starts,
-stops and tells its subsystems what happens.
+`constraints` decides whether a task may start in a round; `components` is the interface between
+a term and its subsystems; `subsystems` lists the optional ones.
 """
--- a/src/chalkgrade/extensions/components.py
+++ b/src/chalkgrade/extensions/components.py
@@ -1,7 +1,8 @@
-"""Subsystems of a term: added by a line of wiring, taken out the same way.
+"""The interface between a term and its subsystems.
 
-A part lives as long as its term. It is told what happens and may bring gates,
-small values that outlive the leader, loops, and figures for /metrics.
+A component lives as long as its term. The term notifies it of events. A component may add start
+constraints, small persisted values that outlive the leader, loops, and metrics. Adding or
+removing one takes a single call of `Term.add_component`.
 """
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping, Sequence
@@ -16,7 +17,7 @@
 
 
 class Sample(NamedTuple):
-    """One family of figures: values by label; counters only ever grow."""
+    """One metric family with its values by label; a counter never decreases."""
 
     name: str
     help_text: str
@@ -26,44 +27,44 @@
 
 
 def gauge(name: str, text: str, value: float) -> Sample:
-    """A figure without labels."""
+    """Returns a gauge without labels."""
     return Sample(name, text, (), {(): value})
 
 
 def labelled_sample(
     name: str, text: str, label: str, counts: Mapping[str, int], counter: bool = True
 ) -> Sample:
-    """Figures with one label; counters unless said otherwise."""
+    """Returns a metric with one label, a counter by default."""
     return Sample(name, text, (label,), {(key,): n for key, n in counts.items()}, counter)
 
 
 class Component:
-    """What a term asks of a subsystem, and tells it. Everything is optional."""
+    """A subsystem of a term. Every method and attribute is optional."""
 
-    persisted_values: Sequence[Kept] = ()  # read before the jobs, written when dirty
-    start_constraints: Sequence[StartConstraint] = ()  # asked by every round
-    # Loops that hold durable state: an error in one ends the lead, since only what is
-    # read anew under a new token can be trusted then.
+    persisted_values: Sequence[Kept] = ()  # read before the jobs, written when changed
+    start_constraints: Sequence[StartConstraint] = ()  # checked in every round
+    # Loops that hold durable state. An error in one ends the leadership, since its state can
+    # be trusted again only after it is read under a new token.
     durable_loops: Sequence[Loop] = ()
-    # Loops that decide: an error is logged and the loop begins again, since the same
-    # input would meet the next leader.
+    # Loops that make decisions. An error is logged and the loop is restarted, since the next
+    # leader would get the same input.
     decision_loops: Sequence[Loop] = ()
 
     def start(self) -> None:
-        """The record is read, live attempts are on their machines; loops begin after this."""
+        """Called once the record and its live attempts are loaded, before the loops start."""
 
     def stop(self) -> None:
-        """The term is over; its loops are cancelled."""
+        """Called at the end of the term, when its loops have been cancelled."""
 
     def on_job(self, job: Job, fresh: bool) -> None:
-        """A job is known now; `fresh`: it was submitted just now, not read from the record."""
+        """Called for each new job; `fresh`: newly submitted, not read from the record."""
 
     def on_report(self, machine: Machine, first: bool) -> None:
-        """A machine's newest report was taken in; `first`: it was not heard of before."""
+        """Called after a report is accepted; `first`: the machine's first one in this term."""
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        """An attempt is over; `cause` as reported, or empty where it is surely absent."""
+        """Called when an attempt ends; `cause` is as reported, or empty if proven absent."""
 
     def samples(self) -> Iterable[Sample]:
-        """Figures for /metrics."""
+        """Returns the component's metrics for /metrics."""
         return ()
--- a/src/chalkgrade/extensions/constraints.py
+++ b/src/chalkgrade/extensions/constraints.py
@@ -1,10 +1,9 @@
-"""What a start takes besides a machine's room.
+"""Constraints on starting tasks, beyond the free resources of machines.
 
-A round asks its gates, and nobody else, whether a task may start now; it tells
-them what it took. What a gate holds is derived from the record: `begin` works it
-out from the live attempts at each round, so that a new leader needs no request
-of its own. An attempt counts as live until it is surely absent (`fleet`), so
-what it took is given back by its end and by nothing sooner.
+Start constraints alone decide whether a task may start in a round, and are notified of each
+placement. Their state is derived from the record: `begin_round` computes it from the live
+attempts, so that a new leader needs no additional requests. An attempt counts as live until it
+is proven absent (see `fleet`), so what it uses is released at its end and not earlier.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,156 +14,177 @@
 
 
 class Preemption(Protocol):
-    """How a gate makes way for work that it refuses: by stopping less urgent work."""
+    """Preemption of less urgent work, for constraints that refuse a more urgent task."""
 
-    preempt: bool  # whether this round may stop anything
+    preempt: bool  # whether this round may preempt at all
 
     def preempt_own_team(self, job: Job) -> bool:
-        """Stop less urgent work of the job's own team, one task's worth of room."""
+        """Stops less urgent work of the job's team to free the resources of one task.
+
+        Returns whether anything was stopped.
+        """
         ...
 
     def resources_ending(self, owner: str, within_s: float) -> tuple[float, ...]:
-        """What a team's tasks that end by themselves within so long will free in all."""
+        """Returns the resources that tasks of a team free by ending within `within_s`."""
         ...
 
     def machine_count(self) -> int:
-        """How many machines serve."""
+        """Returns the number of machines in service."""
         ...
 
     def may_preempt(self, attempt: Attempt, job: Job) -> bool:
-        """Whether the rules of preemption let that be stopped for the job."""
+        """Returns whether the preemption rules let the attempt be stopped for the job."""
         ...
 
     def preemption_loss(self, attempt: Attempt) -> float:
-        """CPU-seconds of work that stopping it now would lose."""
+        """Returns the work in CPU-seconds that is lost by stopping the attempt now."""
         ...
 
     def max_preemption_loss(self, job: Job) -> float:
-        """CPU-seconds that may be lost for one of the job's tasks."""
+        """Returns the CPU-seconds that may be lost to start one task of the job."""
         ...
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
-        """Have them stopped, saved first where they can save."""
+        """Stops the attempts for the job; those that can save a checkpoint do so first."""
         ...
 
 
 class StartConstraint:
-    """One thing that a start takes. Whatever is not overridden is open."""
+    """A condition for starting tasks. Methods that are not overridden restrict nothing."""
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
-        """A round begins: work out from the record what is taken. `now`: steady seconds."""
+        """Computes the current usage from the record; `now`: monotonic time, s."""
 
     def is_ready(self, job: Job) -> bool:
-        """Whether the job need be looked at in this round at all."""
+        """Returns whether the job has to be considered in this round."""
         return True
 
     def max_starts(self, job: Job, count: int) -> int:
-        """How many of so many more tasks of a job may start now, 0 to `count`."""
+        """Returns how many of `count` further tasks of a job may start now."""
         return count
 
     def max_demand(self, job: Job, count: int) -> int:
-        """How many of so many waiting tasks could start if machines had room for them.
+        """Returns how many of `count` waiting tasks could start if machines had room for them.
 
-        Beyond that nothing is granted, kept, stopped or rented for the job.
+        For tasks beyond that number nothing is granted, reserved, preempted or rented.
         """
         return count
 
     def allowed_zones(self, job: Job, sites: set[str]) -> set[str]:
-        """In which of these zones its next task may start."""
+        """Returns the zones out of `sites` where the job's next task may start."""
         return sites
 
     def allows_slot(self, job: Job, slot: Slot) -> bool:
-        """Whether its next task may have room of that machine."""
+        """Returns whether the job's next task may use the machine."""
         return True
 
     def holds_scarce_resource(self, job: Job) -> bool:
-        """Whether its running tasks hold what they might not get back once stopped."""
+        """Returns whether running tasks hold something they may not get back once stopped."""
         return False
 
     def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
-        """Waiting tasks that are placed before all others, each on its own machine."""
+        """Returns waiting tasks to place before all others, each on a given machine.
+
+        A row is the job, the index of the task and the name of the machine.
+        """
         return ()
 
     def on_placed(self, job: Job, site: str) -> None:
-        """A task of it was placed in that zone, in this round."""
+        """Called when a task of the job is placed in a zone in this round."""
 
     def on_released(self, attempt: Attempt) -> None:
-        """An attempt is surely absent: what it took is free. For gates that outlive rounds."""
+        """Called when an attempt is proven absent; for constraints that outlive a round."""
 
-    def preempt_for(self, job: Job, stops: Preemption) -> None:
-        """It refused a task of the job: have less urgent work stopped if that helps."""
+    def preempt_for(self, job: Job, preemption: Preemption) -> None:
+        """Preempts less urgent work, if that helps a job that this constraint refuses."""
 
     def refusal_reason(self, job: Job) -> str:
-        """Why its tasks may not start, in one of operations' words; empty if they may."""
+        """Returns why the job's tasks may not start, as shown to operators; empty if they may."""
         return ""
 
 
-def _overriders(gates: Sequence[StartConstraint], name: str) -> list[StartConstraint]:
+def _overriders(constraints: Sequence[StartConstraint], name: str) -> list[StartConstraint]:
     return [
-        gate for gate in gates if getattr(type(gate), name) is not getattr(StartConstraint, name)
+        constraint
+        for constraint in constraints
+        if getattr(type(constraint), name) is not getattr(StartConstraint, name)
     ]
 
 
 class ConstraintSet:
-    """All gates of a round as one: a start needs all of them.
+    """All start constraints of a round; a start needs the consent of each.
 
-    Only those that have something to say are asked: placing asks per task.
+    Only constraints that override a method are called for it, since placing calls them for each
+    task.
     """
 
-    def __init__(self, gates: Sequence[StartConstraint]) -> None:
-        self.constraints = list(gates)
-        self._is_ready = _overriders(gates, "is_ready")
-        self._max_starts = _overriders(gates, "max_starts")
-        self._max_demand = _overriders(gates, "max_demand")
-        self._allowed_zones = _overriders(gates, "allowed_zones")
-        self._allows_slot = _overriders(gates, "allows_slot")
-        self._priority_starts = _overriders(gates, "priority_starts")
-        self._on_placed = _overriders(gates, "on_placed")
-        self._refusal_reason = _overriders(gates, "refusal_reason")
+    def __init__(self, constraints: Sequence[StartConstraint]) -> None:
+        self.constraints = list(constraints)
+        self._is_ready = _overriders(constraints, "is_ready")
+        self._max_starts = _overriders(constraints, "max_starts")
+        self._max_demand = _overriders(constraints, "max_demand")
+        self._allowed_zones = _overriders(constraints, "allowed_zones")
+        self._allows_slot = _overriders(constraints, "allows_slot")
+        self._priority_starts = _overriders(constraints, "priority_starts")
+        self._on_placed = _overriders(constraints, "on_placed")
+        self._refusal_reason = _overriders(constraints, "refusal_reason")
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
-        known = list(jobs)
-        for gate in self.constraints:
-            gate.begin_round(known, now)
+        """Starts a round in each constraint."""
+        all_jobs = list(jobs)
+        for constraint in self.constraints:
+            constraint.begin_round(all_jobs, now)
 
     def is_ready(self, job: Job) -> bool:
-        return all(gate.is_ready(job) for gate in self._is_ready)
+        """Returns whether every constraint considers the job."""
+        return all(constraint.is_ready(job) for constraint in self._is_ready)
 
     def max_starts(self, job: Job, count: int) -> int:
-        for gate in self._max_starts:
-            count = gate.max_starts(job, count)
+        """Returns how many of `count` tasks every constraint lets start now."""
+        for constraint in self._max_starts:
+            count = constraint.max_starts(job, count)
         return count
 
     def max_demand(self, job: Job, count: int) -> int:
-        for gate in self._max_demand:
-            count = gate.max_demand(job, count)
+        """Returns how many of `count` tasks could start if machines had room."""
+        for constraint in self._max_demand:
+            count = constraint.max_demand(job, count)
         return count
 
-    def refuses_starts(self, job: Job, count: int, stops: Preemption) -> bool:
-        """Whether fewer than so many may start; the gate that says so may make way."""
-        for gate in self._max_starts:
-            if gate.max_starts(job, count) < count:
-                gate.preempt_for(job, stops)
+    def refuses_starts(self, job: Job, count: int, preemption: Preemption) -> bool:
+        """Returns whether fewer than `count` may start; the refusing constraint may preempt."""
+        for constraint in self._max_starts:
+            if constraint.max_starts(job, count) < count:
+                constraint.preempt_for(job, preemption)
                 return True
         return False
 
     def allowed_zones(self, job: Job, sites: set[str]) -> set[str]:
-        for gate in self._allowed_zones:
-            sites = gate.allowed_zones(job, sites)
+        """Returns the zones that every constraint allows for the job's next task."""
+        for constraint in self._allowed_zones:
+            sites = constraint.allowed_zones(job, sites)
         return sites
 
     def allows_slot(self, job: Job, slot: Slot) -> bool:
-        for gate in self._allows_slot:  # noqa: SIM110 - asked per machine
-            if not gate.allows_slot(job, slot):
+        """Returns whether every constraint allows the machine for the job's next task."""
+        for constraint in self._allows_slot:  # noqa: SIM110 - called per machine
+            if not constraint.allows_slot(job, slot):
                 return False
         return True
 
     def priority_starts(self) -> list[tuple[Job, int, str]]:
-        return [row for gate in self._priority_starts for row in gate.priority_starts()]
+        """Returns the tasks to place first, of all constraints."""
+        return [row for constraint in self._priority_starts for row in constraint.priority_starts()]
 
     def on_placed(self, job: Job, site: str) -> None:
-        for gate in self._on_placed:
-            gate.on_placed(job, site)
+        """Notifies the constraints of a placed task."""
+        for constraint in self._on_placed:
+            constraint.on_placed(job, site)
 
     def refusal_reason(self, job: Job) -> str:
-        return next(filter(None, (gate.refusal_reason(job) for gate in self._refusal_reason)), "")
+        """Returns the reason of the first constraint that refuses the job; empty if none."""
+        return next(
+            filter(None, (constraint.refusal_reason(job) for constraint in self._refusal_reason)),
+            "",
+        )
--- a/src/chalkgrade/extensions/subsystems.py
+++ b/src/chalkgrade/extensions/subsystems.py
@@ -1,9 +1,9 @@
-"""The table of optional subsystems: one row each, and nothing is paid where one is off.
+"""The table of optional subsystems, which cost nothing while they are switched off.
 
-A subsystem is a package of that name. Its module `settings` has `read`, which decodes
-the operators' file; its module `part` has `join`, which makes its part of a term, and
-may have `refusal`, which says what submissions can never run. Nothing of a package is
-imported before its file is there.
+A subsystem is a package of the name in the table. Its module `settings` has `read`, which
+decodes the operators' file. Its module `part` has `join`, which creates its component of a
+term, and may have `refusal`, which tells why a submission can never run. A package is imported
+only if its file is given.
 """
 
 import importlib
@@ -16,10 +16,10 @@
 
 
 class Subsystem(NamedTuple):
-    """A package that is switched on by a file, `deploy/NAME.xml` by default."""
+    """An optional package that a file switches on, `deploy/NAME.xml` by default."""
 
     name: str
-    purpose: str  # for the command line
+    purpose: str  # help text of its command line option
 
 
 SUBSYSTEMS = (
@@ -33,7 +33,7 @@
 
 
 def read_settings(settings: Settings, files: Mapping[str, str | None]) -> None:
-    """Read the files of those that are switched on; SettingsError names file and field."""
+    """Reads the files of the subsystems that are on; SettingsError names the file and field."""
     for row in SUBSYSTEMS:
         path = files.get(row.name)
         if path:
@@ -42,14 +42,17 @@
 
 
 def create_components(settings: Settings, joint: Any) -> Iterable[Any]:
-    """The parts of those that are on, in the table's order; `joint`: see `renting.joint`."""
+    """Yields the components of the subsystems that are on, in the table's order.
+
+    `joint` is the interface that they get; see `renting.joint`.
+    """
     for row in SUBSYSTEMS:
         if row.name in settings.parts:
             yield _module(row.name, "part").join(settings.parts[row.name], joint)
 
 
 def submission_checks(settings: Settings) -> list[Callable[[Any], str | None]]:
-    """Why a submission can never run, as far as they know: one function each."""
+    """Returns functions of the active subsystems that tell why a submission can never run."""
     on = [row.name for row in SUBSYSTEMS if row.name in settings.parts]
     makers = [(name, getattr(_module(name, "part"), "refusal", None)) for name in on]
     return [make(settings.parts[name]) for name, make in makers if make is not None]
--- a/src/chalkgrade/leading/__init__.py
+++ b/src/chalkgrade/leading/__init__.py
@@ -1,4 +1,5 @@
-"""One leader's term: everything that lives as long as one token.
+"""The state and behaviour of a leader during one term, identified by its fencing token.
 
-Ask `term` for a job's present state, to accept or abort one, and to answer a worker.
+`term.Term` is the entry point: it reports a job's current state, accepts and aborts jobs and
+answers workers' reports.
 """
--- a/src/chalkgrade/leading/failures.py
+++ b/src/chalkgrade/leading/failures.py
@@ -1,4 +1,4 @@
-"""Whose fault a failure is: the job's or the machine's (docs/design.md, "Whose fault")."""
+"""Attributes task failures to the job or to the machine (docs/design.md, "Whose fault")."""
 
 import logging
 
@@ -13,13 +13,14 @@
 
 
 class FailureTracker(Component):
-    """Counts failures by machine, and lets faulty jobs pause between probes."""
+    """Counts failures by machine and job and delays the next attempts of faulty jobs."""
 
     def __init__(self, token: int, clock: Clock) -> None:
         self._token = token
         self._clock = clock
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
+        """Records the outcome of an attempt and sets the job's backoff after a failure."""
         job = attempt.job
         if machine is None:
             return
@@ -31,11 +32,12 @@
             if cause == "error":
                 machine.failures_by_job[job] = machine.failures_by_job.get(job, 0) + 1
             if job.faulty or cause == "unknown":
-                # Tasks that were under way fail at once, as one; probes fail one by one.
+                # Tasks that already ran can all fail at the same moment, which counts as one
+                # failure. Probes run one at a time, so each failed probe doubles the delay.
                 pause = constants.JOB_BACKOFF_S * 2 ** min(8, job.probes if not job.live else 0)
                 job.not_before = self._clock.now() + min(constants.JOB_BACKOFF_MAX_S, pause)
             log.info(
-                "%s failed on %s: %s%s",
+                "attempt failed: %s on %s: %s%s",
                 attempt.name,
                 machine.name,
                 cause,
@@ -43,9 +45,9 @@
                 extra=about(self._token, job.name, machine.name, attempt.label),
             )
         elif cause == "no_room":
-            machine.capacity_misreported = (
-                True  # our picture of it is wrong: wait for the next report
-            )
+            # The free resources assumed here were wrong: place nothing until the next report.
+            machine.capacity_misreported = True
 
 
-FAILURE_CAUSES = ("error", "unknown")  # causes that count as a failure of the attempt
+# End causes that count as a failure of the attempt.
+FAILURE_CAUSES = ("error", "unknown")
--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -1,8 +1,8 @@
-"""What a leader knows beside the record, for whoever leads next.
+"""Passes a leader's unrecorded observations to its successor.
 
-Hints are told over the peer links every few seconds, bounded in size and believed for a
-short time. They shift what is planned and what is tried first; they never prove that a
-task or a machine is there or is not.
+The leader sends hints over the peer links every few seconds. Their size is bounded and a
+successor uses them only while they are recent. Hints influence planning and the order in
+which options are tried; they never prove that a task or a machine is present or absent.
 """
 
 import logging
@@ -20,24 +20,25 @@
 
 
 class Hints(msgspec.Struct):
-    """Times are times of day, s: they must mean something to another controller.
+    """Observations of one term. All times are wall-clock seconds, valid on any controller.
 
-    Only what is little: images held and since when tasks run were told too, some 60 KB. A
-    day on the bench fell since then, also with these alone; the cause is not proven.
+    Hints carry only small values. Held images and task start times made a message about 60 KB
+    and are left out. A benchmark day has failed since hints are sent, with these small values
+    alone as well; the cause is unknown.
     """
 
     token: int
     at: float
-    ratios: list[tuple[Pool, float]] = []  # boot times as seen, over the type's
-    never: list[tuple[Pool, list[float]]] = []  # births of machines that never came
-    refused: list[tuple[Pool, float]] = []  # pools without capacity, until when
-    booting: list[tuple[str, Pool, float]] = []  # rented, not heard of yet; and their births
-    silent: dict[str, float] = {}  # machines out of reach, and since when
+    ratios: list[tuple[Pool, float]] = []  # observed boot time / the type's nominal one
+    never: list[tuple[Pool, list[float]]] = []  # rental times of machines that never reported
+    refused: list[tuple[Pool, float]] = []  # pools without capacity, and until when
+    booting: list[tuple[str, Pool, float]] = []  # rented, no report yet: name, pool, rental time
+    silent: dict[str, float] = {}  # unreachable machines -> time of the last report
     failed: dict[str, dict[str, int]] = {}  # machine -> job -> failures since its last success
 
 
 def gather_hints(domain: Domain, renter: Renter) -> Hints:
-    """The hints of a term, each kind bounded."""
+    """Collects the hints of the current term, with a bounded number of entries of each kind."""
     clock, fleet, most = domain.office.clock, domain.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
     out = Hints(domain.office.token, clock.wall())
@@ -63,7 +64,7 @@
 
 
 def apply_hints(hints: Hints, domain: Domain, renter: Renter) -> None:
-    """Begin a term with what the last leader said, as far as the record agrees."""
+    """Applies the previous leader's hints to a new term where they agree with the record."""
     clock, fleet, jobs = domain.office.clock, domain.fleet, domain.book.jobs
     shift = clock.now() - clock.wall()
     renter.boots.hear(hints.ratios, hints.never, shift)
@@ -78,29 +79,33 @@
             known.silent_since = at + shift
     for name, counts in hints.failed.items():
         if name in fleet.machines:
-            # One at most: that a machine is returned needs a failure that we have seen.
+            # At most one failure is taken over: a machine is returned only after this leader
+            # has observed a failure itself.
             failed = [jobs[job] for job, count in counts.items() if job in jobs and count > 0]
             fleet.machines[name].failures_by_job |= dict.fromkeys(failed[:1], 1)
-    told = (len(hints.booting), len(hints.silent))
-    log.info("hints of term %d: %d booting, %d silent", hints.token, *told)
+    totals = (len(hints.booting), len(hints.silent))
+    log.info("hints applied: term %d: %d booting, %d silent machines", hints.token, *totals)
 
 
 class HintExchange:
-    """One controller's side: the hints it has heard, and how it tells its own."""
+    """One controller's hints: the last ones received, and the function that sends its own."""
 
     def __init__(self, tell: Callable[[Hints], Awaitable[None]]) -> None:
         self.publish = tell
         self.received: Hints | None = None
 
     def receive(self, hints: Hints, leads: int) -> bool:
-        """Keep what the present leader says; False for what is older, or of nobody's term."""
+        """Stores hints of the current leader; False if they are older or of an earlier term.
+
+        `leads`: the highest token known to this controller.
+        """
         if hints.token < leads or (self.received is not None and hints.at <= self.received.at):
             return False
         self.received = hints
         return True
 
     def usable_hints(self, token: int, wall: float) -> Iterable[Hints]:
-        """The hints of an earlier term, if they are young enough to be of use."""
+        """Yields the hints of an earlier term if they are recent enough to be used."""
         hints = self.received
         if hints is not None and hints.token < token and wall - hints.at < constants.HINTS_AGE_S:
             yield hints
--- a/src/chalkgrade/leading/images.py
+++ b/src/chalkgrade/leading/images.py
@@ -1,4 +1,4 @@
-"""Which images machines hold, as far as reports and the record tell."""
+"""Tracks which images machines hold, from their reports and from the record."""
 
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Machine
@@ -6,13 +6,16 @@
 
 
 def add_recorded_images(machine: Machine, images: dict[str, float], clock: Clock) -> None:
-    """What the record says a machine was given work for (image -> GB): older than reports."""
+    """Adds images of work that the record assigns to a machine (image -> GB).
+
+    Reports are newer than the record, so the machine's own entries take precedence.
+    """
     machine.image_gb |= images
     machine.images = {**dict.fromkeys(images, clock.now()), **machine.images}
 
 
 def record_image_use(machine: Machine, bundle: str, flavor: Flavor | None, clock: Clock) -> None:
-    """A task there has its image; the most recently used fit the machine's disk."""
+    """Marks an image as used now, and drops the least recently used that exceed the disk."""
     machine.images.pop(bundle, None)
     machine.images[bundle] = clock.now()
     room = flavor.localGb if flavor is not None else 0.0
@@ -23,4 +26,4 @@
     ):
         oldest = next(iter(machine.images))
         del machine.images[oldest]
-        machine.image_gb.pop(oldest, None)  # else one entry for each image it ever had
+        machine.image_gb.pop(oldest, None)  # otherwise one entry stays for every image ever held
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -1,4 +1,4 @@
-"""Reports and their answers: what a report surely says, and the orders that go with it."""
+"""Handles workers' reports: updates the record's view of attempts and returns orders."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,14 +14,14 @@
 
 
 class ReportHandler:
-    """Answers workers under one token."""
+    """Handles workers' reports during one term."""
 
     def __init__(
         self,
         domain: Domain,
         scheduling: RoundScheduler,
-        took_in: Callable[[Machine, bool], None],
-        ended: AttemptEndedCallback,
+        on_report_accepted: Callable[[Machine, bool], None],
+        on_attempt_ended: AttemptEndedCallback,
     ) -> None:
         self.office = domain.office
         self.leadership = domain.office.leadership
@@ -31,13 +31,20 @@
         self.flavors = domain.flavors
         self.live = domain.live
         self.scheduling = scheduling
-        self.on_report_accepted = took_in  # a newest report was taken in; whether it was the first
-        self.on_attempt_ended = ended  # an attempt is over; its cause, or empty
+        # Called with the machine of an accepted report and whether it was its first one.
+        self.on_report_accepted = on_report_accepted
+        # Called with the end cause, empty if the attempt is proven absent.
+        self.on_attempt_ended = on_attempt_ended
 
     async def handle_report(
         self, report: Report, relayed: bool = False
     ) -> tuple[int, dict[str, Any]]:
-        """Answer one report; one that another controller carries is held for less long."""
+        """Answers one report with an HTTP status and a body.
+
+        Status 421 means that this controller may not answer now, as it does not lead or its
+        lease is no longer proven. A report relayed by another controller is held for a
+        shorter time, which must fit into the relay's own time limit.
+        """
         if report.baton > self.office.token:
             self.leadership.heard(report.baton)
             return 421, {}
@@ -74,10 +81,10 @@
         return 200, answer
 
     async def _wait_for_decisions(self, machine: Machine, idle_s: float) -> None:
-        """Wait shortly for a round and its commit, so that launches go with this answer.
+        """Waits briefly for a round and its commit, so that this answer carries the launches.
 
-        A machine with nothing to do is held for longer: it has nothing to tell,
-        and work that comes meanwhile need not wait for its next report.
+        The report of an idle machine is held for up to `idle_s`: it has nothing to report
+        meanwhile, and new work need not wait for its next report.
         """
         machine.open_reports += 1
         try:
@@ -95,7 +102,7 @@
             machine.open_reports -= 1
 
     def _forgettable_attempts(self, machine: Machine) -> list[tuple[str, int]]:
-        """Ended tasks whose outcome is durable."""
+        """Returns the ended tasks whose outcome is durable, which the worker may forget."""
         return [
             key
             for key, entry in machine.tasks.items()
@@ -105,7 +112,7 @@
         ]
 
     def _reconcile(self, machine: Machine) -> None:
-        """Bring the book up to what a report surely says."""
+        """Updates the attempts of a machine with what its newest report proves."""
         now = self.clock.now()
         for key, attempt in list(machine.attempts.items()):
             entry = machine.tasks.get(key)
@@ -131,10 +138,12 @@
             attempt.state = entry.status
             spec = attempt.job.spec
             if spec.shape == "service" and attempt.since:
-                # Else two sick machines in its life would leave it short of replicas for ever.
+                # Otherwise failures on two broken machines during its life would leave the
+                # service short of replicas for good.
                 attempt.job.ran |= now - attempt.since > constants.PROVEN_RUN_S
             elif attempt.job.faulty:
-                # Two machines that were sick at once must not hold a sound job back for a run.
+                # Two machines that break at the same time must not hold back a sound job for the
+                # length of a run.
                 live = attempt.job.live.values()
                 ran = sum(bool(a.since) and now - a.since > constants.PROVEN_RUN_S for a in live)
                 attempt.job.trials = max(1, 2 * ran)
@@ -144,6 +153,6 @@
                     machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock
                 )
             if machine.has_termination_notice and attempt.kill_at is None and spec.savepointS > 0:
-                attempt.kill_at = now  # save while the machine lasts
+                attempt.kill_at = now  # save before the machine is withdrawn
         if machine.attempts:
             machine.busy_at = now
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -1,4 +1,4 @@
-"""The rounds of a term, and what operators hear of them."""
+"""Runs the scheduling rounds of a term and reports their state to operators."""
 
 import asyncio
 import logging
@@ -20,13 +20,13 @@
 
 
 class RoundScheduler(Component):
-    """Plays rounds when something happened, at most `round_s` apart."""
+    """Runs a round after each relevant event, and at least every `round_s` seconds."""
 
     def __init__(
         self,
         domain: Domain,
-        sweep: Callable[[], None],
-        refused: Callable[[], Iterable[Pool]],
+        expire_leases: Callable[[], None],
+        pools_without_capacity: Callable[[], Iterable[Pool]],
     ) -> None:
         self.office = office = domain.office
         self.clock = office.clock
@@ -35,38 +35,43 @@
         self.queues = queues = domain.queues
         self.flavors = domain.flavors
         self.live = domain.live
-        self.expire_leases = sweep  # looks for attempts that are surely gone
-        self.pools_without_capacity = refused  # pools without capacity of late
-        self.component_constraints: list[StartConstraint] = []  # other parts' gates
+        self.expire_leases = expire_leases  # ends attempts on machines whose lease is over
+        self.pools_without_capacity = pools_without_capacity  # as recently refused by the cloud
+        self.component_constraints: list[StartConstraint] = []  # of the term's components
         self.teams = {team.name: team for team in office.settings.cluster.teams}
         self.round_requested = asyncio.Event()
         self.round_finished = Signal()
-        self.min_waiting_cpus = float("inf")  # CPUs of the smallest task that waited lately
+        self.min_waiting_cpus = float("inf")  # CPUs of the smallest waiting task in the last round
         self.preempted_at = -1e9
         self.status_logged_at = -1e9
         self.persisted_values = queues.kept
         self.decision_loops = [self._loop]
 
-    # -- as a part ------------------------------------------------------------------
+    # -- component interface --------------------------------------------------------
 
     def start(self) -> None:
+        """Requests the first round of the term."""
         self.round_requested.set()
 
     def on_job(self, job: Job, fresh: bool) -> None:
+        """Requests a round for a job; a held job is announced again once it may run."""
         if job.held:
-            return  # it comes again once it may run
+            return
         if fresh:
             self.queues.observe_submission(job)
-        self.min_waiting_cpus = 0.0  # until the next round knows
+        self.min_waiting_cpus = 0.0  # unknown until the next round
         self.round_requested.set()
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        # Of what an earlier leader started we have not seen the beginning: it would pass for short.
+        """Records the run time of a completed attempt and requests a round."""
+        # The start of an attempt launched by an earlier leader was not observed. Its run time
+        # would be underestimated.
         if cause == "done" and attempt.since and attempt.decided:
             self.queues.observe_run(attempt.job, self.clock.now() - attempt.since)
         self.round_requested.set()
 
     def samples(self) -> Iterable[Sample]:
+        """Returns the metrics of jobs, machines and tasks."""
         jobs = self.book.jobs.values()
         yield gauge("jobs", "Jobs that are not over", len(jobs))
         yield gauge("machines", "Machines known", len(self.fleet.machines))
@@ -92,22 +97,22 @@
             began = self.clock.now()
             if not self.live() and began - self.status_logged_at >= constants.TELL_EVERY_S:
                 self.status_logged_at = began
-                log.warning("nothing is started: %s", line(self.standing()) or "no lease")
+                log.warning("scheduling suspended: %s", line(self.standing()) or "no lease")
             if self.live():
                 self.expire_leases()
                 self._run_round(began)
                 waiting = (j.spec.vcpus for j in self.book.jobs.values() if len(j.waiting))
-                # Each report asks for it: once a round, not once a report and job.
+                # Every report reads this, so it is computed once per round rather than per report.
                 self.min_waiting_cpus = min(waiting, default=float("inf"))
                 if self.book.log.pending or any(kept.dirty for kept in self.persisted_values):
                     self.book.flush_wanted.set()
             self.round_finished.fire()
-            # Rounds that take long must leave time for reports and users.
+            # After a long round the loop sleeps in proportion, to leave time for reports and users.
             took = self.clock.now() - began
             await asyncio.sleep(max(constants.ROUND_MIN_S, constants.ROUND_REST * took))
 
     def _run_round(self, now: float) -> None:
-        """Steps 4 to 7 on the room that reports."""
+        """Runs one scheduling round on the machines that report (steps 4 to 7 of the protocol)."""
         preempt = now - self.preempted_at >= constants.PREEMPT_EVERY_S
         if preempt:
             self.preempted_at = now
@@ -123,22 +128,22 @@
         )
         placed = plan.run()
         if placed or plan.stopped:
-            log.debug("round: placed %d, stopping %d", placed, plan.stopped)
+            log.debug("round finished: placed %d, stopping %d", placed, plan.stopped)
         if now - self.status_logged_at >= constants.TELL_EVERY_S:
             self.status_logged_at = now
             self._log_status()
 
     def wants_work(self, machine: Machine) -> bool:
-        """Whether a round may find something for a machine that has just reported."""
+        """Returns whether a round could place a task on a machine that has just reported."""
         flavor = self.flavors.get(machine.hosttype)
         if flavor is None or not self.fleet.usable(machine):
             return False
         return machine.used[0] + self.min_waiting_cpus <= flavor.vcpus + 1e-9
 
-    # -- what operators hear ----------------------------------------------------------
+    # -- status for operators -----------------------------------------------------------
 
     def standing(self) -> Standing:
-        """How many tasks of each class wait, and for what."""
+        """Counts waiting tasks by job class and reason."""
         return standing(
             self.book.jobs.values(),
             self.fleet,
@@ -152,7 +157,7 @@
         )
 
     def _log_status(self) -> None:
-        """One line for operators: what there is, what runs, what waits."""
+        """Logs a summary of machines, attempts and waiting tasks, and why tasks wait."""
         states: dict[str, int] = defaultdict(int)
         waiting: dict[str, int] = defaultdict(int)
         usable = idle = 0
@@ -165,7 +170,7 @@
         for job in self.book.jobs.values():
             waiting[job.spec.jobclass] += len(job.waiting)
         log.info(
-            "%d machines, %d usable, %d idle; attempts %s; waiting %s",
+            "status: %d machines, %d usable, %d idle; attempts %s; waiting %s",
             len(self.fleet.machines),
             usable,
             idle,
@@ -174,4 +179,4 @@
         )
         why = self.standing()
         if why:
-            log.info("standing: %s", line(why))
+            log.info("tasks waiting: %s", line(why))
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -1,7 +1,7 @@
-"""One term of leadership: a book, a fleet, and the subsystems over both.
+"""One term of leadership: the job record, the fleet and the components that work on both.
 
-Everything here lives as long as one token. Losing the lead throws the term
-away; the next one is rebuilt from the state service and the reports.
+A term lasts as long as one fencing token. When leadership is lost the term is discarded;
+the next leader builds a new one from the state service and from workers' reports.
 """
 
 import asyncio
@@ -41,11 +41,11 @@
 
 
 class Unavailable(Exception):
-    """Nothing can be said now; the user should come back."""
+    """The leader can't answer at present; the user should retry."""
 
 
 class Term:
-    """What the leader knows and does under one token."""
+    """The state and the tasks of a leader under one fencing token."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         flavors: dict[str, Flavor],
         remember: Callable[[str, str, int], object],
         http: Http,
-        succession: HintExchange,
+        hint_exchange: HintExchange,
     ) -> None:
         self.office = office
         self.leadership = office.leadership
@@ -65,7 +65,7 @@
         self.components: list[Component] = []
         self.book = Book(office, remember, self._on_job)
         self.jobs = self.book.jobs
-        self.hint_exchange = succession
+        self.hint_exchange = hint_exchange
         self.domain = domain = Domain(
             office, self.book, self.fleet, self.queues, flavors, self.is_serving
         )
@@ -78,10 +78,10 @@
             domain, self.scheduling, self._on_report_accepted, self._on_attempt_ended
         )
         self.ready = False
-        self.record_loaded = Signal()  # the record is read: reports are taken from now on
+        self.record_loaded = Signal()  # fires once the record is read and reports are accepted
         self.tasks: list[asyncio.Task[None]] = []
         self.ended_by_cause: dict[str, int] = defaultdict(int)  # ended attempts by cause
-        self.reported_cancelled: set[str] = set()  # jobs that others have told of, see `believe`
+        self.reported_cancelled: set[str] = set()  # names; see `apply_reported_cancellations`
         self.writer = Writer(office, self.book)
         self.pipelines = Pipelines(self.book, self._on_job, self.queues.dues, self.queues.takes_s)
         self.add_component(self.pipelines)
@@ -89,44 +89,46 @@
         self.add_component(self.scheduling)
         self.add_component(self.renter)
         joint = Joint(domain, self.renter, self._max_demand, self._holds_scarce_resource, http)
-        for part in subsystems.create_components(office.settings, joint):
-            self.add_component(part)
+        for component in subsystems.create_components(office.settings, joint):
+            self.add_component(component)
 
-    def add_component(self, part: Component) -> None:
-        """Wire a subsystem in, before the term starts."""
-        self.components.append(part)
-        self.book.kept += part.persisted_values
-        self.scheduling.component_constraints += part.start_constraints
+    def add_component(self, component: Component) -> None:
+        """Registers a component; must be called before the term starts."""
+        self.components.append(component)
+        self.book.kept += component.persisted_values
+        self.scheduling.component_constraints += component.start_constraints
 
-    # -- life ---------------------------------------------------------------------
+    # -- life cycle ---------------------------------------------------------------
 
     def start(self) -> None:
+        """Starts loading the record; the loops start once it is loaded."""
         self.tasks.append(asyncio.create_task(self._supervise(self._run, True, lasting=False)))
 
     def stop(self) -> None:
+        """Ends the term: cancels its tasks and stops its components."""
         self.ready = False
         for task in self.tasks:
             task.cancel()
-        for part in self.components:
-            part.stop()
+        for component in self.components:
+            component.stop()
 
     async def _run(self) -> None:
         while not self.ready:
             try:
                 await self._load()
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
-                log.warning("loading the book: %s", error)
+                log.warning("loading the record failed, retrying: %s", error)
                 await asyncio.sleep(constants.STATE_PAUSE_S)
         writing = [self.writer.flush, *[self.writer.admit] * constants.ADMIT_LANES]
         self._spawn([self.book.watch, self.writer.watch, *writing], True)
-        for part in self.components:
-            self._spawn(part.durable_loops, True)
-            self._spawn(part.decision_loops, False)
+        for component in self.components:
+            self._spawn(component.durable_loops, True)
+            self._spawn(component.decision_loops, False)
         if constants.HINTS_PEERS:
             self._spawn([self._publish_hints], False)
 
     async def _publish_hints(self) -> None:
-        """Tell those who would lead next what the record does not have."""
+        """Sends the term's hints periodically to the controllers that would lead next."""
         while True:
             await asyncio.sleep(constants.HINTS_EVERY_S)
             if self.is_serving():
@@ -136,12 +138,13 @@
         self.tasks += [asyncio.create_task(self._supervise(loop, fatal)) for loop in loops]
 
     async def _supervise(self, loop: Loop, fatal: bool, lasting: bool = True) -> None:
-        """A loop that meets a bug must not leave half a leader behind.
+        """Runs a loop and handles its failure, so that a leader never runs without one.
 
-        What holds durable state is rebuilt under a new token; deciding where
-        things run starts again, since the same input would meet the next leader.
-        A cancellation that nobody asked this task for is a bug like any other: taken for the
-        term's end, it would leave a leader that places work and writes nothing.
+        A failed loop with durable state (`fatal`) ends the leadership, and its state is rebuilt
+        under a new token. A failed decision loop is restarted instead, since the next leader
+        would get the same input. A `CancelledError` that was not requested for this task is
+        treated as a failure: taken for the end of the term, it would leave a leader that
+        places work and writes nothing. A loop that is not `lasting` may return.
         """
         task = asyncio.current_task()
         while True:
@@ -152,9 +155,9 @@
             except asyncio.CancelledError:
                 if task is None or task.cancelling():
                     raise
-                log.exception("a loop was cancelled by nobody")
+                log.exception("loop cancelled without a request")
             except Exception:
-                log.exception("a loop failed%s", "; stepping down" if fatal else "")
+                log.exception("loop failed%s", "; stepping down" if fatal else "")
             if fatal:
                 self.leadership.depose()
                 return
@@ -171,39 +174,50 @@
         self.ready = True
         self.record_loaded.fire()
         live = sum(len(job.live) for job in self.jobs.values())
-        log.info("term %d: %d jobs, %d live attempts", self.office.token, len(self.jobs), live)
-        for part in self.components:
-            part.start()
+        log.info(
+            "term started: token %d: %d jobs, %d live attempts",
+            self.office.token,
+            len(self.jobs),
+            live,
+        )
+        for component in self.components:
+            component.start()
 
-    # -- users --------------------------------------------------------------------
+    # -- requests of users --------------------------------------------------------
 
     def is_serving(self) -> bool:
-        """Whether this term may answer for the present."""
+        """Returns whether the record is loaded and the lease still proves leadership."""
         return self.ready and self.leadership.acting()
 
     def job_account(self, name: str) -> Account:
-        """A job's present state, and the keys of open commits that may have changed it."""
+        """Returns a job's current state and the keys of open commits that may have changed it.
+
+        Raises `Unavailable` if the state can't be told at present.
+        """
         if not self.is_serving():
             raise Unavailable
         job = self.jobs.get(name)
         keys = self.writer.fates.of(name)
         if job is not None and job.aborted:
-            return Account(job.status())  # nothing that is open makes it anything else
+            return Account(job.status())  # no open commit can change that
         if job is not None:
             if not self.pipelines.sure(job):
-                raise Unavailable  # as may be that it is cancelled
+                raise Unavailable  # it may be cancelled already
             return Account(job.status(), keys)
         if name in self.book.admissions:
-            # Whatever commit of ours it waits for, another node may have accepted it too.
+            # Another node may have accepted the job as well, whichever commit it waits for here.
             keys.append(JOB_PREFIX + name)
         return Account(None, keys)
 
     def has_job(self, name: str) -> bool:
-        """Whether a job is on record under this token."""
+        """Returns whether the term has a record of the job, live or over."""
         return name in self.jobs or name in self.book.over
 
     async def submit(self, spec: JobSpec) -> bool:
-        """Accept a job together with others; False when it is known already."""
+        """Accepts a job, committed in a batch with others; False if it is already known.
+
+        Raises `Unavailable` if the term can't answer at present.
+        """
         if not self.is_serving():
             raise Unavailable
         value = JobValue(spec, self.clock.wall())
@@ -211,13 +225,15 @@
             try:
                 value = await apart.keep(self.office.ledger, value)
             except Conflict:
-                return False  # it is over
+                return False  # the job is already over
         return await self.book.admit(value, constants.PEER_TIMEOUT_S)
 
     async def abort(self, name: str) -> str | None:
-        """Abort a job; its final state, or None when the book does not have it.
+        """Aborts a job and returns its final state, or None if the record does not have it.
 
-        One whose admission is open is waited for: others may have read that it is accepted.
+        If the admission of the job is still open, this waits for it, since other controllers may
+        already have read that the job is accepted. Raises `Unavailable` if the outcome is not
+        durable within `INTAKE_DEADLINE_S`.
         """
         if not self.is_serving():
             raise Unavailable
@@ -241,54 +257,60 @@
                 break
         raise Unavailable
 
-    def apply_reported_cancellations(self, told: set[str]) -> None:
-        """Stop what others have told users is cancelled."""
-        for job in filter(None, map(self.jobs.get, told - self.reported_cancelled)):
+    def apply_reported_cancellations(self, reported: set[str]) -> None:
+        """Stops the jobs that other controllers have already reported to users as cancelled."""
+        for job in filter(None, map(self.jobs.get, reported - self.reported_cancelled)):
             job.told = True
             for attempt in job.live.values():
                 attempt.kill_at = attempt.kill_at or self.clock.now()
-        self.reported_cancelled |= told
+        self.reported_cancelled |= reported
 
     def withdraw_reported_cancellations(self) -> None:
-        """The record is ours again: only what it says is cancelled is so."""
+        """Drops reported cancellations: the record is available again and alone decides."""
         for job in filter(None, map(self.jobs.get, self.reported_cancelled)):
             job.told = False
         self.reported_cancelled.clear()
 
-    # -- workers and what becomes of attempts ---------------------------------------
+    # -- workers' reports and the ends of attempts ----------------------------------
 
     async def handle_report(
         self, report: Report, relayed: bool = False
     ) -> tuple[int, dict[str, Any]]:
-        """Answer one report; one that another controller carries is held for less long."""
+        """Answers one report; see `ReportHandler.handle_report`."""
         return await self.reports.handle_report(report, relayed)
 
     def _on_job(self, job: Job, fresh: bool) -> None:
-        for part in self.components:
-            part.on_job(job, fresh)
+        for component in self.components:
+            component.on_job(job, fresh)
 
     def _on_report_accepted(self, machine: Machine, first: bool) -> None:
-        for part in self.components:
-            part.on_report(machine, first)
+        for component in self.components:
+            component.on_report(machine, first)
 
     def _on_attempt_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        """An attempt is over, as reported or since it is surely absent (no cause)."""
+        """Handles the end of an attempt: reported with a cause, or proven absent (empty cause)."""
         if cause:
             self.ended_by_cause[cause] += 1
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.office.token, attempt.job.name, attempt.machine, attempt.label)
-            log.debug("%s on %s: %s", attempt.label, attempt.machine, cause or "gone", extra=what)
+            log.debug(
+                "attempt ended: %s on %s: %s",
+                attempt.label,
+                attempt.machine,
+                cause or "gone",
+                extra=what,
+            )
         attempt.job.finish(attempt, cause == "done", cause in FAILURE_CAUSES)
         if machine is not None:
             machine.detach(attempt)
         self.book.progressed(attempt.job)
-        for gate in self.scheduling.component_constraints:
-            gate.on_released(attempt)
-        for part in self.components:
-            part.on_ended(machine, attempt, cause)
+        for constraint in self.scheduling.component_constraints:
+            constraint.on_released(attempt)
+        for component in self.components:
+            component.on_ended(machine, attempt, cause)
 
     def _expire_leases(self) -> None:
-        """Find attempts that are surely gone because their machine has lost its lease."""
+        """Ends the attempts that are proven absent because their machine's lease is over."""
         for machine in self.fleet.machines.values():
             if not machine.attempts or not self.fleet.is_own_lease_over(machine):
                 continue
@@ -296,7 +318,7 @@
             lost = [a for a in machine.attempts.values() if every or a.decided]
             if lost:
                 log.info(
-                    "%s: lease surely over, %d attempts lost",
+                    "machine lease over: %s: %d attempts lost",
                     machine.name,
                     len(lost),
                     extra=about(self.office.token, machine=machine.name),
@@ -305,23 +327,24 @@
                 self._on_attempt_ended(machine, attempt, "")
 
     def _max_demand(self, job: Job, count: int) -> int:
-        for gate in self.scheduling.component_constraints:
-            count = gate.max_demand(job, count)
+        for constraint in self.scheduling.component_constraints:
+            count = constraint.max_demand(job, count)
         return count
 
     def _holds_scarce_resource(self, job: Job) -> bool:
         return any(
-            gate.holds_scarce_resource(job) for gate in self.scheduling.component_constraints
+            constraint.holds_scarce_resource(job)
+            for constraint in self.scheduling.component_constraints
         )
 
     def _on_attempt_lost(self, attempt: Attempt) -> None:
-        """The attempt's machine is surely gone."""
+        """Handles an attempt whose machine is proven to be gone."""
         self._on_attempt_ended(None, attempt, "")
 
     def samples(self) -> Iterable[Sample]:
-        """Figures for /metrics."""
-        for part in self.components:
-            yield from part.samples()
+        """Returns the metrics of the term and its components."""
+        for component in self.components:
+            yield from component.samples()
         unwritable = len(self.writer.unwritable)
         yield gauge("unwritable_values", "Values over the state service's limit", unwritable)
         yield labelled_sample("attempts", "Ended attempts by cause", "cause", self.ended_by_cause)
