--- a/src/chalkgrade/machines/__init__.py
+++ b/src/chalkgrade/machines/__init__.py
@@ -1,5 +1,6 @@
-"""Machines as they report, and which of them suits a task.
+"""Machines, the state that they report, and the choice of machines for tasks.
 
-Ask `fleet` what may be present where, and what is surely absent; ask `placement`, which
-is pure, for the best machine, or for the stops that make room at the least loss.
+`fleet` tells which attempts may be present on a machine and which are proven absent.
+`placement` holds pure functions that choose the best machine for a task, or the preemptions
+that make room at the least loss.
 """
--- a/src/chalkgrade/machines/flavors.py
+++ b/src/chalkgrade/machines/flavors.py
@@ -1,15 +1,20 @@
-"""Kinds of machines: the cloud's types, and the pools they are rented from. Pure."""
+"""Machine types of the cloud and the pools that machines are rented from. Pure."""
 
 import msgspec
 
 from chalkgrade.record.changes import Kept
 from chalkgrade.record.jobs import JobSpec
 
-Pool = tuple[str, str, bool]  # type, zone, spot
-SPOT_OPTIONS = (True, False)  # spot and ordinary
+Pool = tuple[str, str, bool]  # machine type, zone, whether spot
+SPOT_OPTIONS = (True, False)  # spot, on demand
 
 
 class Flavor(msgspec.Struct):
+    """A machine type: its resources, zones, image pull rate, hourly prices and boot time.
+
+    `localGb` is the disk for images, GB; 0 if unknown. `bootS` is in seconds.
+    """
+
     sku: str
     vcpus: float
     memoryGb: float
@@ -23,11 +28,12 @@
 
     @property
     def room(self) -> tuple[float, float, float]:
+        """The resources of an empty machine: CPUs, GPUs and memory in GB."""
         return self.vcpus, self.gpus, self.memoryGb
 
 
 def tasks_per_machine(spec: JobSpec, flavor: Flavor) -> int:
-    """How many tasks of that shape fit an empty machine."""
+    """Returns how many tasks of a job fit on an empty machine of the type."""
     counts = [
         int((has + 1e-9) // needs)
         for needs, has in zip(spec.room, flavor.room, strict=True)
@@ -40,17 +46,17 @@
 
 
 class FlavorsValue(msgspec.Struct):
-    """The value under cg/flavors: the types as the last leader knew them."""
+    """The value under cg/flavors: the machine types as the last leader knew them."""
 
     hosttypes: list[Flavor]
 
 
 def persisted_flavors(flavors: dict[str, Flavor]) -> Kept:
-    """The machine types as a value that outlives the leader; what is known already stays."""
+    """Returns the persisted value of the machine types; loading never replaces known types."""
 
     def load(raw: bytes) -> None:
         if not flavors:
-            known = msgspec.json.decode(raw, type=FlavorsValue).hosttypes
-            flavors.update({flavor.sku: flavor for flavor in known})
+            loaded = msgspec.json.decode(raw, type=FlavorsValue).hosttypes
+            flavors.update({flavor.sku: flavor for flavor in loaded})
 
     return Kept(FLAVORS_KEY, load, lambda: FlavorsValue(list(flavors.values())))
--- a/src/chalkgrade/machines/fleet.py
+++ b/src/chalkgrade/machines/fleet.py
@@ -1,16 +1,15 @@
-"""Machines: what each one reports, surely or possibly holds, and its orders.
-
-An attempt that the book puts on a machine counts as present there until one of
-the proofs of absence holds (`Fleet.absent`). Orders are never queued: each
-response carries the difference between what the book wants and what the report
-shows, so a lost response costs nothing but time.
-
-What is believed of a report: that all of it was true when it was written, and that
-this was after every older one, by (tenure, seq). That it was written in our own term, and
-not long before, is proved by our token alone (`current`): to a new leader the first
-one may be a copy from any earlier session, of a machine that is gone. Without it only
-what stays true is believed: the machine's kind, a notice, tasks that are done; and what it says
-of attempts that we decided ourselves, which no earlier report can tell of.
+"""Machines: their reports, the attempts that may be present on them, and their orders.
+
+An attempt that the record assigns to a machine counts as present there until it is proven
+absent (`Fleet.is_surely_absent`). Orders are never queued: each response carries the difference
+between the record and the report, so a lost response costs only time.
+
+Every report was true when it was written, and it was written after all reports with a lower
+(tenure, seq). Only this term's token in it proves that it was written recently, during this term
+(`Fleet.has_seen_token`): the first report that a new leader receives may be a copy from any
+earlier session of a machine that no longer exists. From a report without the token only lasting
+facts are used: the machine's type, a termination notice and completed tasks, and also what it
+says about attempts placed in this term, which no earlier report can mention.
 """
 
 import logging
@@ -30,6 +29,12 @@
 
 
 class TaskReport(msgspec.Struct):
+    """One attempt in a worker's report; `number` is its try number.
+
+    `status` is waiting, fetching, running, saving or ended. `cause` is set once ended; `kept` tells
+    whether the task saved its work when it was stopped.
+    """
+
     task: str
     number: int = msgspec.field(name="try")
     status: str = "running"
@@ -38,6 +43,13 @@
 
 
 class Report(msgspec.Struct):
+    """A worker's report.
+
+    `tenure` is the number of its session, `seq` that of the report, `baton` the newest leader's
+    token that it has seen, `standby` whether it is a spot machine, and `warningS` the seconds left
+    before the machine is withdrawn.
+    """
+
     host: str
     tenure: int
     seq: int
@@ -51,7 +63,7 @@
 
 
 class Machine:
-    """One machine as the leader knows it."""
+    """The leader's view of one machine. Times are monotonic, s."""
 
     def __init__(self, name: str, hosttype: str, site: str, standby: bool, now: float) -> None:
         self.name = name
@@ -59,67 +71,65 @@
         self.site = site
         self.standby = standby
         self.known_at = now
-        self.tenure = 0
-        self.seq = 0
-        self.token = 0
-        self.reported_at: float | None = None  # when its newest report came
-        self.capacity_misreported = False  # it refused a task that should have fitted
-        self.rented_this_term = False  # rented under this token, so that its boot is seen whole
-        self.answered_at: float | None = None  # when we last may have renewed its lease
-        self.response_tracker = ResponseTracker()  # whether what we answer reaches it
+        self.tenure = 0  # session of its newest report
+        self.seq = 0  # number of its newest report
+        self.token = 0  # leader's token that its newest report carries
+        self.reported_at: float | None = None  # arrival of its newest report
+        self.capacity_misreported = False  # it refused a task that should have fit
+        self.rented_this_term = False  # so its whole boot is observed
+        self.answered_at: float | None = None  # last response, which may renew its lease
+        self.response_tracker = ResponseTracker()  # whether it receives responses
         self.tasks: dict[tuple[str, int], TaskReport] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.used: Vector = ZERO  # what the attempts of the book take
-        self.work_assigned = Signal()  # work was decided for it
-        self.open_reports = (
-            0  # reports that wait for their answer: what is decided now goes at once
-        )
+        self.used: Vector = ZERO  # by the attempts on record
+        self.work_assigned = Signal()  # fires when an attempt is placed here
+        self.open_reports = 0  # reports held; launches can go out with their responses
         self.has_termination_notice = False
-        self.listed_at: float | None = None  # when a list that names it was first asked for
+        self.listed_at: float | None = None  # request time of the first cloud list that has it
         self.status = ""
-        self.rented_at = now  # about when it was rented
-        self.images: dict[str, float] = {}  # image -> when it was last used
+        self.rented_at = now  # approximate time of rental
+        self.images: dict[str, float] = {}  # image -> time of last use
         self.image_gb: dict[str, float] = {}
-        self.failures_by_job: dict[Job, int] = {}  # failed attempts by job, since the last success
-        self.failed_at = now  # when a task last failed on it; before our term it may have
-        self.silent_since: float | None = None  # as the last leader said, until it reports
+        self.failures_by_job: dict[Job, int] = {}  # failed attempts since the last success
+        self.failed_at = now  # last task failure; at first unknown, so the start
+        self.silent_since: float | None = None  # from the last leader's hints, until it reports
         self.releasing = False
-        self.busy_at = now  # when it last had work
-        self.kept_for_queue = ("", now)  # the queue for whose wide tasks it was last kept, and when
+        self.busy_at = now  # time when it last had an attempt
+        self.kept_for_queue = ("", now)  # last queue that it was reserved for, and when
 
     def attach(self, attempt: Attempt) -> None:
-        """An attempt of the book may be here from now on."""
+        """Adds an attempt of the record, which may be present here from now on."""
         self.attempts[attempt.name, attempt.number] = attempt
         self.work_assigned.fire()
         self.used = plus(self.used, attempt.job.spec.room)
 
     def detach(self, attempt: Attempt) -> None:
-        """An attempt is surely not here any more."""
+        """Removes an attempt that is proven absent."""
         if self.attempts.pop((attempt.name, attempt.number), None) is not None:
-            # An empty machine uses exactly nothing: sums of fractions would drift.
+            # Reset to exactly zero when empty, since sums of fractions accumulate rounding errors.
             left = minus(self.used, attempt.job.spec.room)
             self.used = left if self.attempts else ZERO
 
     @property
     def failures(self) -> int:
-        """The failures that are the machine's own fault, as far as is known now.
+        """The number of failures attributed to the machine.
 
-        A job of which something was completed is sound: what fails of it counts
-        in full. One that failed on other machines as well and never succeeded is
-        faulty itself, and no machine is blamed for it, however many of its tasks
-        it had. A single job that failed only here leaves both open.
+        Failures of a job that has completed a task count in full, as the job works. A job that
+        failed on several machines and never succeeded is itself faulty, and none of its failures
+        counts against a machine. A job that failed only here may be faulty or not, and counts as
+        one failure however many of its tasks failed.
         """
         if not self.failures_by_job:
-            return 0  # the usual case, asked of every machine in every round and plan
+            return 0  # the usual case; called per machine in every round and rental plan
         return sum(
             count if job.proven else 0 if len(job.failed_on) >= constants.FAULTY_MACHINES else 1
             for job, count in self.failures_by_job.items()
         )
 
     def unknown_tasks(self) -> list[TaskReport]:
-        """Reported tasks that are not over and that the book does not put here."""
+        """Returns reported tasks that have not ended and are not on record for this machine."""
         if self.tasks.keys() <= self.attempts.keys():
-            return []  # the usual case, and every round asks every machine
+            return []  # the usual case; called per machine in every round
         return [
             report
             for key, report in self.tasks.items()
@@ -128,7 +138,7 @@
 
 
 class Fleet:
-    """All machines known under one token."""
+    """All machines known during one term; `lease_s` and `report_s` are in seconds."""
 
     def __init__(self, clock: Clock, token: int, lease_s: float, report_s: float) -> None:
         self._clock = clock
@@ -137,11 +147,11 @@
         self.report_s = report_s
         self.silent_s = constants.SILENT_REPORTS * report_s + constants.SILENT_SLACK_S
         self.machines: dict[str, Machine] = {}
-        # Surely gone: old reports and lists must not revive them.
+        # Machines proven gone, which old reports and lists must not bring back.
         self.gone = Latest[str, None](constants.GONE_KEPT)
 
     def get_or_add(self, name: str, hosttype: str, site: str, standby: bool) -> Machine:
-        """The machine of that name, made known if it was not."""
+        """Returns the machine of that name; adds it if it is unknown."""
         machine = self.machines.get(name)
         if machine is None:
             machine = Machine(name, hosttype, site, standby, self._clock.now())
@@ -151,12 +161,12 @@
         return machine
 
     def attach_attempt(self, attempt: Attempt) -> None:
-        """Put an attempt on its machine, which may be known only by that."""
+        """Adds an attempt to its machine, which may be known only from the attempt."""
         machine = self.get_or_add(attempt.machine, "", "", False)
         machine.attach(attempt)
 
     def accept_report(self, report: Report) -> Machine | None:
-        """Take in a report; None when it is older than what is known, or from the dead."""
+        """Accepts a report; None if it is older than the last one or the machine is gone."""
         if report.host in self.gone:
             return None
         machine = self.get_or_add(report.host, report.hosttype, report.site, report.standby)
@@ -177,32 +187,33 @@
         return machine
 
     def has_seen_token(self, machine: Machine) -> bool:
-        """Whether its newest report was surely written in our term: it shows our token.
+        """Returns whether its newest report carries this term's token.
 
-        No earlier leader's order can be executed there any more, and it hears us.
+        Then the report was written during this term, the machine has received a response, and it
+        no longer executes orders of earlier leaders.
         """
         return machine.token == self.token
 
     def is_surely_ended(self, machine: Machine, attempt: Attempt, cause: str) -> bool:
-        """Whether an attempt of the book that a report lists as ended is surely over.
+        """Returns whether an attempt that a report lists as ended can't be running any more.
 
-        What is done stays done. Any other end lasts as long as the worker's session: if it
-        had not reached the last leader, that one has launched the attempt again, under the
-        same number, into the next session, and a copy from the first may reach us before that
-        session's own reports do. Of what we decided, older sessions know nothing.
+        A completed attempt stays completed. Any other end holds only for the worker's session.
+        If the report of it did not reach the last leader, that leader launched the attempt again
+        in the next session under the same number, and a copy of the old report may arrive here
+        before the reports of that session. Older sessions know nothing of attempts placed in this
+        term.
         """
         return cause == "done" or bool(attempt.decided) or self.has_seen_token(machine)
 
     def is_surely_absent(self, machine: Machine, attempt: Attempt) -> bool:
-        """Whether an attempt of the book is surely not on its machine.
-
-        Holds when the newest report was made under our own token, does not list
-        it, and came after the response that carried its launch: a worker has
-        only one report in flight, so that response was executed or dropped.
-        Launches of earlier leaders can no longer be executed once the worker
-        has seen our token. That it has not proves nothing of an attempt that was on record
-        before us: its report may have been held since before its launch. Of one that we
-        decided it need not have seen anything: nobody else ever launches that one.
+        """Returns whether an attempt on record is proven absent from its machine.
+
+        It is if the newest report carries this term's token, does not list the attempt, and was
+        written after the response with its launch: a worker has only one report in flight, so
+        it executed or dropped that response. A worker that has seen this term's token executes no
+        launches of earlier leaders. A report without the token proves nothing about an attempt of
+        an earlier term, as it may have been delayed since before the launch. For an attempt placed
+        in this term the token is not needed, since no other leader launches it.
         """
         if (attempt.name, attempt.number) in machine.tasks:
             return False
@@ -211,18 +222,18 @@
         return attempt.sent is None or attempt.sent < (machine.tenure, machine.seq)
 
     def is_lease_over(self, machine: Machine) -> bool:
-        """Whether a silent machine's lease has surely ended.
+        """Returns whether the lease of a silent machine is proven to be over.
 
-        Only for machines that have seen our token: others may be kept alive by
-        an earlier leader that we can't see.
+        This needs a machine that has seen this term's token: an earlier leader, unseen from
+        here, may still renew the lease of any other.
         """
         return self.has_seen_token(machine) and self.is_own_lease_over(machine)
 
     def is_own_lease_over(self, machine: Machine) -> bool:
-        """Whether no answer of ours can have kept a task there alive.
+        """Returns whether the lease from this term's last response is over.
 
-        Whatever an earlier leader may keep alive: an attempt that we decided is surely
-        absent then, since the only answers that could launch it were ours.
+        Even if an earlier leader still renews the machine's lease, attempts placed in this
+        term are absent then, as only responses of this term could launch them.
         """
         if machine.answered_at is None:
             return False
@@ -230,22 +241,22 @@
         return self._clock.now() > machine.answered_at + lease
 
     def usable(self, machine: Machine) -> bool:
-        """Whether work may be placed on it now.
+        """Returns whether tasks may be placed on the machine now.
 
-        Also where an earlier leader's launch can still be executed: what it may launch
-        there is in the book and has its room, and new work is nowhere else. Only absence
-        needs a report under our own token.
+        They may be even while it can still execute launches of an earlier leader: those attempts
+        are on record with their resources, and new tasks run nowhere else. Only a proof of absence
+        needs a report with this term's token.
         """
         heard = machine.reported_at is not None and not machine.capacity_misreported
         return heard and not self.is_unconfirmed(machine) and self.is_in_service(machine)
 
     def is_unconfirmed(self, machine: Machine) -> bool:
-        """Whether all that is known of it may be a late copy of a report.
+        """Returns whether the machine may be known only from late copies of its reports.
 
-        A machine of earlier days that was returned or taken meanwhile is in no list any
-        more, and copies of its reports, also of its very first, would bring it back under a
-        new leader, however many come. One that is there is listed, was rented by us, or
-        shows our token with its next report, half a second later.
+        A machine that was returned or withdrawn earlier is in no cloud list. Copies of its
+        reports, of the first one too, would bring it back under a new leader, however many copies
+        come. An existing machine is listed, was rented in this term, or carries this term's
+        token in its next report half a second later.
         """
         return (
             machine.listed_at is None
@@ -254,7 +265,7 @@
         )
 
     def is_in_service(self, machine: Machine) -> bool:
-        """Whether a machine serves, or will once it is up: not going, sick or silent."""
+        """Returns whether a machine serves or will once booted: not leaving, failing or silent."""
         return (
             not machine.releasing
             and not machine.has_termination_notice
@@ -267,24 +278,27 @@
         )
 
     def launch_delay_s(self, machine: Machine) -> float:
-        """How long a launch for it has to wait for a report that it can go with."""
+        """Returns the seconds until the report whose response can carry a launch."""
         if machine.open_reports or machine.reported_at is None:
             return 0.0
         return max(0.0, self.report_s - (self._clock.now() - machine.reported_at))
 
     def remove_machine(self, machine: Machine) -> list[Attempt]:
-        """A machine is surely gone; returns the attempts that went with it."""
+        """Removes a machine that is proven gone and returns its attempts."""
         self.gone[machine.name] = None
         self.machines.pop(machine.name, None)
         lost = list(machine.attempts.values())
-        machine.attempts.clear()  # a report that is being answered must launch nothing there
+        machine.attempts.clear()  # a response being prepared must launch nothing
         return lost
 
 
 def orders(
     machine: Machine, forgettable: Iterable[tuple[str, int]], clock: Clock, launches: bool
 ) -> list[dict[str, Any]]:
-    """The difference between the book and the last report of a machine."""
+    """Returns the orders that bring a machine from its last report to the record.
+
+    `forgettable`: ended tasks that the worker may forget; `launches`: whether to launch tasks.
+    """
     out: list[dict[str, Any]] = []
     forget = set(forgettable)
     for (task, number), entry in machine.tasks.items():
@@ -293,7 +307,7 @@
             if (task, number) in forget:
                 out.append({"order": "forget", "task": task, "try": number})
         elif attempt is None:
-            # Nobody planned it here (any more): a late command, or a job that is over.
+            # Not on record here: launched by a late order, or of a job that is over.
             out.append({"order": "kill", "task": task, "try": number, "graceS": 0})
         elif attempt.kill_at is not None:
             spec = attempt.job.spec
--- a/src/chalkgrade/machines/placement.py
+++ b/src/chalkgrade/machines/placement.py
@@ -1,9 +1,9 @@
-"""From grants to machines. Pure.
+"""Chooses machines for granted tasks and victims for preemption. Pure functions.
 
-Machines are seen as `Slot`s: free room and held images. Choosing prefers, in
-this order, machines that have the image (fetching can cost as much as
-running), machines that are already fetching it, and the tightest fit, so that
-whole machines stay free for whole-machine tasks.
+A machine is represented by a `Slot` with its free resources and images. The choice prefers, in
+this order, machines that hold the image (fetching can cost as much as running), machines that
+are already fetching it, and the tightest fit, so that whole machines stay free for tasks that
+need one.
 """
 
 import heapq
@@ -17,23 +17,23 @@
 
 @dataclass
 class Occupant:
-    """A task on a machine, as far as making room is concerned."""
+    """A task on a machine, as a candidate for preemption."""
 
     task: str
     number: int
     owner: str
     rank: int
     room: Vector
-    remaining_s: float  # until it ends by itself, or is saved if it was told to stop
-    loss_cpu_s: float  # CPU-seconds of work that stopping it now would lose
+    remaining_s: float  # s until it ends, or until it is saved if it is stopping
+    loss_cpu_s: float  # work lost by stopping it now, CPU-seconds
     stopping: bool = False
-    can_save: bool = False  # what it has done lasts when it is stopped
-    is_protected: bool = False  # more urgent work does not stop it
+    can_save: bool = False  # it saves a checkpoint when stopped
+    is_protected: bool = False  # more urgent work may not preempt it
 
 
 @dataclass
 class Slot:
-    """One machine's free room, as placement sees it."""
+    """One machine with its free resources (CPUs, GPUs, memory in GB) during a round."""
 
     name: str
     hosttype: str
@@ -43,34 +43,35 @@
     total: Vector
     images: set[str] = field(default_factory=set)
     pull_gb_s: float = 1.0
-    recent_failures: int = 0  # failures of late; the healthiest machine is taken first
+    recent_failures: int = 0  # the machine with the fewest is preferred
     fetching: set[str] = field(default_factory=set)
-    launch_delay_s: float = 0.0  # until a launch can be sent there
-    load_occupants: Callable[[], list[Occupant]] = list  # asked only where room is to be made
-    reserved_for: str = ""  # the job that room is kept for, and how much: the rest is free for all
+    launch_delay_s: float = 0.0  # s until a launch can be sent
+    load_occupants: Callable[[], list[Occupant]] = list  # called only when room has to be made
+    reserved_for: str = ""  # job that `reserved` is for; the rest is free for all
     reserved: Vector = (0.0, 0.0, 0.0)
-    was_placed_on: bool = False  # something was placed here in this round
+    was_placed_on: bool = False  # in this round
     loaded_occupants: list[Occupant] | None = None
 
     def room_for(self, job: str) -> Vector:
-        """What a job may use of it."""
+        """Returns the free resources that a job may use."""
         if not self.reserved_for or self.reserved_for == job:
             return self.free
         return minus(self.free, self.reserved)
 
     def has_or_fetches(self, bundle: str) -> bool:
-        """Whether an image is there, or on its way."""
+        """Returns whether the machine holds the image or is fetching it."""
         return bundle in self.images or bundle in self.fetching
 
     @property
     def occupants(self) -> list[Occupant]:
+        """The tasks on the machine, loaded at the first use."""
         if self.loaded_occupants is None:
             self.loaded_occupants = self.load_occupants()
         return self.loaded_occupants
 
 
 def may_use_machine(spec: JobSpec, hosttype: str, site: str, standby: bool) -> bool:
-    """Whether a job may use that kind of machine at all."""
+    """Returns whether a job may use machines of that type, zone and pricing (spot or not)."""
     if spec.hosttypes is not None and hosttype not in spec.hosttypes:
         return False
     if spec.site is not None and site != spec.site:
@@ -79,32 +80,32 @@
 
 
 def eligible_zones(spec: JobSpec, held: dict[str, int], zones: Iterable[str]) -> set[str]:
-    """Zones where one more task may go, given where the others may be."""
+    """Returns the zones for one more task, given the number of tasks per zone (`held`)."""
     used = {zone for zone, count in held.items() if count}
     out = set(zones)
     if spec.oneZone and used:
         out = used if len(used) == 1 else set()
-    if spec.spread:  # with one zone for all, too: then half of them run at a time
-        # Tasks in a zone not known yet ("", after a change of leader) may be in any.
-        most = (spec.tasks + 1) // 2 - held.get("", 0)
-        out = {zone for zone in out if held.get(zone, 0) < most}
+    if spec.spread:  # combined with `oneZone`, half of the tasks run at a time
+        # Tasks in an unknown zone ("", after a change of leader) may be in any zone.
+        max_per_zone = (spec.tasks + 1) // 2 - held.get("", 0)
+        out = {zone for zone in out if held.get(zone, 0) < max_per_zone}
     return out
 
 
 def image_fetch_s(spec: JobSpec, slot: Slot) -> float:
-    """Seconds until the image is there."""
+    """Returns the seconds until the machine holds the job's image."""
     if not spec.pullGb or spec.bundle in slot.images:
         return 0.0
     whole = spec.pullGb / max(slot.pull_gb_s, 1e-6)
-    # A fetch under way is shared; several at once share the rate.
+    # A running fetch of the image is shared. Fetches of several images share the rate.
     return whole * 0.5 if spec.bundle in slot.fetching else whole * (1 + len(slot.fetching))
 
 
 def is_fetch_congested(spec: JobSpec, slot: Slot) -> bool:
-    """Whether other images are being fetched there, so that one more takes too long.
+    """Returns whether a machine fetches other images, so that one more would take too long.
 
-    Fetches share a machine's rate: each of four takes four times as long, and
-    all the CPUs that wait for them stand idle.
+    Fetches share a machine's rate: each of four takes four times as long, and all CPUs that
+    wait for them are idle.
     """
     if not spec.pullGb or not slot.fetching or slot.has_or_fetches(spec.bundle):
         return False
@@ -116,16 +117,19 @@
     slots: Iterable[Slot],
     zones: set[str],
     avoid: Iterable[str] = (),
-    opens: Callable[[Slot], bool] = lambda _: True,
+    allows_slot: Callable[[Slot], bool] = lambda _: True,
 ) -> Slot | None:
-    """The best machine for one more task of a job, or None."""
+    """Returns the best machine for one more task of a job, or None.
+
+    `avoid`: names of machines to leave out; `allows_slot`: whether a machine is allowed.
+    """
     best: Slot | None = None
     best_key: tuple[float, ...] = ()
-    shunned = set(avoid)
+    excluded = set(avoid)
     for slot in slots:
-        if slot.site not in zones or slot.name in shunned:
+        if slot.site not in zones or slot.name in excluded:
             continue
-        if not fits(spec.room, slot.free) or not opens(slot):
+        if not fits(spec.room, slot.free) or not allows_slot(slot):
             continue
         if is_fetch_congested(spec, slot):
             continue
@@ -138,11 +142,11 @@
 
 
 class SlotPicker:
-    """The best machines for tasks that are alike, one after the other.
+    """Returns the best machines for similar tasks, one after the other.
 
-    The same choices as `choose` before each task. Slots are looked at once and
-    again only when they come to the top: within a round their room only
-    shrinks, and jobs that are alike share one ranking.
+    The choices are those of `choose_slot` before each task. Each slot is ranked once, and again
+    only when it reaches the top of the heap: its room only shrinks within a round. Similar jobs
+    share one ranking. With `local`, only machines that hold or fetch the image are used.
     """
 
     def __init__(
@@ -153,17 +157,17 @@
         local: bool = False,
     ) -> None:
         self._spec, self._local = spec, local
-        shunned = set(avoid)
+        excluded = set(avoid)
         self._heap: list[tuple[tuple[float, ...], int, Slot]] = []
-        # Slots come in few kinds: whether a job may use one is asked once a kind.
-        may: dict[tuple[str, str, bool], bool] = {}
+        # Slots are of few kinds, so permission is computed once per kind.
+        permitted: dict[tuple[str, str, bool], bool] = {}
         for number, slot in enumerate(slots):
-            if not self._open(slot) or slot.name in shunned:
+            if not self._open(slot) or slot.name in excluded:
                 continue
             kind = (slot.hosttype, slot.site, slot.standby)
-            if kind not in may:
-                may[kind] = may_use_machine(spec, *kind)
-            if may[kind]:
+            if kind not in permitted:
+                permitted[kind] = may_use_machine(spec, *kind)
+            if permitted[kind]:
                 self._heap.append((placement_key(spec, slot), number, slot))
         heapq.heapify(self._heap)
 
@@ -173,35 +177,34 @@
             return False
         return not (self._local and spec.pullGb and not slot.has_or_fetches(spec.bundle))
 
-    def take_best(self, opens: Callable[[Slot], bool], zones: set[str]) -> Slot | None:
-        """The best slot for a job within the zones now open to it; its room is taken."""
-        kept: list[tuple[tuple[float, ...], int, Slot]] = []
+    def take_best(self, allows_slot: Callable[[Slot], bool], zones: set[str]) -> Slot | None:
+        """Takes room on the best allowed slot in the given zones and returns it, or None."""
+        set_aside: list[tuple[tuple[float, ...], int, Slot]] = []
         found: Slot | None = None
         while self._heap and found is None:
             held, number, slot = self._heap[0]
-            # A zone never opens again while a job's tasks are placed.
+            # A zone is never allowed again while a job's tasks are being placed.
             if not self._open(slot) or slot.site not in zones:
                 heapq.heappop(self._heap)
                 continue
             now = placement_key(self._spec, slot)
             if now != held:
                 heapq.heapreplace(self._heap, (now, number, slot))
-            elif not opens(slot):
-                kept.append(heapq.heappop(self._heap))  # closed to this job, not to all
+            elif not allows_slot(slot):
+                set_aside.append(heapq.heappop(self._heap))  # not allowed for this job only
             else:
                 occupy_slot(slot, self._spec)
                 found = slot
-        for entry in kept:
+        for entry in set_aside:
             heapq.heappush(self._heap, entry)
         return found
 
 
 def placement_key(spec: JobSpec, slot: Slot) -> tuple[float, ...]:
-    """What makes one machine better than another for a task: the least wins.
+    """Returns the sort key of a machine for a task; the lowest is best.
 
-    The time to a machine's next report counts in steps: within one the tightest
-    machine wins, so that others drain and whole machines come free for work
-    that needs them.
+    The time to a machine's next report is rounded down to steps. Within one step the tightest fit
+    wins, so that other machines become empty for tasks that need a whole one.
     """
     left = (slot.free[0] - spec.vcpus) / max(slot.total[0], 1e-9)
     step = constants.SOON_STEP_S
@@ -218,19 +221,19 @@
     slots: list[Slot],
     held: dict[str, int],
     avoid: Iterable[str] = (),
-    opens: Callable[[Slot], bool] = lambda _: True,
+    allows_slot: Callable[[Slot], bool] = lambda _: True,
 ) -> list[Slot] | None:
-    """Slots for a gang's tasks, all or none: part of a gang only blocks room."""
+    """Returns slots for all tasks of a gang, or None, as part of a gang only blocks room."""
     before = [(slot, slot.free, set(slot.fetching)) for slot in slots]
     every = {slot.site for slot in slots}
-    # With one zone for all, the first zone that takes the whole gang is as good as any.
+    # If all tasks need one zone, the first zone that fits the whole gang is used.
     options = [{zone} for zone in sorted(every)] if spec.oneZone else [every]
     found: list[Slot] = []
     for option in options:
         found, zones = [], dict(held)
         while len(found) < count:
             slot = choose_slot(
-                spec, slots, eligible_zones(spec, zones, option) & option, avoid, opens
+                spec, slots, eligible_zones(spec, zones, option) & option, avoid, allows_slot
             )
             if slot is None:
                 break
@@ -245,7 +248,7 @@
 
 
 def occupy_slot(slot: Slot, spec: JobSpec) -> None:
-    """Take a task's room from a slot."""
+    """Takes the resources of one task from a slot and notes the fetch of its image."""
     slot.free = minus(slot.free, spec.room)
     slot.was_placed_on = True
     if spec.bundle not in slot.images:
@@ -253,7 +256,7 @@
 
 
 def room_wait_s(spec: JobSpec, slot: Slot) -> float:
-    """Seconds until the slot has room for one task, if nothing else is placed there."""
+    """Returns the seconds until one task fits on the slot if nothing else is placed there."""
     free = slot.free
     if fits(spec.room, free):
         return 0.0
@@ -265,11 +268,11 @@
 
 
 class PreemptionOffers:
-    """Where room can be made for one shape of work, the least loss first.
+    """The preemptions that make room for tasks of one shape, in order of loss.
 
-    Every slot is looked at once; an offer is worked out again only when it is
-    about to be taken, since stopping work elsewhere uses up what a team has in
-    excess.
+    Each slot is evaluated once. An offer is computed again only before it is taken, since
+    preemptions elsewhere may have used up the excess of a team. For the parameters see
+    `select_victims`.
     """
 
     def __init__(
@@ -295,20 +298,21 @@
         return select_victims(self._spec, slot, self._own, excess, *self._only)
 
     def take_cheapest(
-        self, open_slot: Callable[[Slot], bool], most: float
+        self, allows_slot: Callable[[Slot], bool], max_loss_cpu_s: float
     ) -> tuple[Slot, list[Occupant]] | None:
-        """The cheapest offer on a slot open to the asker that loses at most so much a task.
+        """Returns the cheapest offer on an allowed slot, or None.
 
-        What its tasks hold is no excess any more. Offers on slots that are
-        closed to this asker stay for others of the same shape.
+        `max_loss_cpu_s`: the highest loss per started task. The victims' resources are deducted
+        from the excess of their teams. Offers on slots that are not allowed for this job remain for
+        other jobs of the same shape.
         """
-        kept: list[tuple[float, str, Slot]] = []
+        set_aside: list[tuple[float, str, Slot]] = []
         taken: tuple[Slot, list[Occupant]] | None = None
         while self._heap and taken is None:
             entry = heapq.heappop(self._heap)
             lost, name, slot = entry
-            if not open_slot(slot):
-                kept.append(entry)
+            if not allows_slot(slot):
+                set_aside.append(entry)
                 continue
             found = self._found(slot)
             if not found:
@@ -317,18 +321,18 @@
                 heapq.heappush(self._heap, (_loss(found), name, slot))
                 continue
             gained = tasks_fitting_after(self._spec, slot, found) if self._only[1] else 1
-            if lost > most * gained:
-                kept.append(entry)
+            if lost > max_loss_cpu_s * gained:
+                set_aside.append(entry)
                 break
             found = select_victims(self._spec, slot, self._own, self._excess, *self._only)
             taken = slot, found or []
-        for entry in kept:
+        for entry in set_aside:
             heapq.heappush(self._heap, entry)
         return taken
 
 
 def tasks_fitting_after(spec: JobSpec, slot: Slot, stopped: list[Occupant]) -> int:
-    """How many tasks of a job find room on a machine once these have stopped; at least one."""
+    """Returns how many tasks of a job fit once the given tasks have stopped; at least one."""
     free = slot.free
     for occupant in stopped:
         free = plus(free, occupant.room)
@@ -348,15 +352,14 @@
     borrowed_only: bool = False,
     savers_only: bool = False,
 ) -> list[Occupant] | None:
-    """The tasks whose stop makes room at the least loss; None: not possible.
-
-    Only lower priorities, and, for work within its team's guarantee, what other
-    teams run in excess of theirs (`excess`: how much); the protocol lets nothing
-    else be stopped for a job.
-    With `own`, only the job's own team makes room: it is at its maximum, and
-    room on the machine alone would not help. What the guard against starvation started is
-    not stopped for urgency: it would be started again at once. With `borrowed_only`, lower
-    priorities are left alone, too; with `savers_only`, all that does not save is.
+    """Returns the tasks to stop on a machine to make room at the least loss; None: impossible.
+
+    The protocol allows only two kinds of victims: tasks of a lower priority and, for a job within
+    its team's guarantee, tasks that other teams run in excess of theirs (`excess`: by team).
+    With `own`, only tasks of the job's own team are stopped, as the team is at its maximum and
+    room on the machine alone would not help. Tasks started by the starvation guard are not
+    stopped for urgency, as they would be started again at once. `borrowed_only` leaves out tasks
+    of a lower priority; `savers_only` leaves out tasks that can't save a checkpoint.
     """
     free: Vector = (0.0, 0.0, max(0.0, slot.free[2])) if own else slot.free
     for occupant in slot.occupants:
--- a/src/chalkgrade/machines/response_tracking.py
+++ b/src/chalkgrade/machines/response_tracking.py
@@ -1,9 +1,9 @@
-"""Whether what we answer to a machine's reports reaches it.
+"""Detects machines whose reports arrive but which don't receive the responses.
 
-A report that was received proves nothing of the way back. What does: a worker has only one
-report in flight, so that the next one shows whether the answer to the last was taken: it
-lists what was launched, and has seen our token. A session that ends although its reports were
-answered has heard none of these answers.
+A received report proves nothing about the return path. A worker has only one report in flight,
+so its next report shows whether it received the last response: it lists the launched tasks and
+carries the leader's token. If a worker's session ends although its reports were answered, it
+received none of these responses.
 """
 
 from chalkgrade import constants
@@ -12,23 +12,24 @@
 
 
 class ResponseTracker:
-    """One machine's, under one token."""
+    """Tracks the responses to one machine during one term."""
 
     def __init__(self) -> None:
-        self.responses_lost_since: float | None = None  # since when nothing has surely reached it
-        self.launch_orders_sent: set[tuple[str, int]] = set()  # with the last answer
-        self._last_answered: ReportKey | None = None  # the report that was last answered in time
-        self._lost_responses = 0  # answers in a row that surely did not reach it
-        self._session: tuple[int, float] = (0, 0.0)  # its session, and when we first answered in it
-        self._session_responses = 0  # answers in that session
-        self._has_shown_token = False  # it has shown our token: an answer of ours was taken
+        self.responses_lost_since: float | None = None  # time; None if not lost
+        self.launch_orders_sent: set[tuple[str, int]] = set()  # with the last response
+        self._last_answered: ReportKey | None = None  # last report answered in time
+        self._lost_responses = 0  # in a row, proven not received
+        self._session: tuple[int, float] = (0, 0.0)  # the current tenure and its first report
+        self._session_responses = 0  # sent in time in that session
+        self._has_shown_token = False  # a response of this term was received
 
     @property
     def responses_lost(self) -> bool:
+        """Whether there is evidence that the machine receives no responses."""
         return self.responses_lost_since is not None
 
     def on_response_sent(self, key: ReportKey, received_at: float, now: float) -> None:
-        """The answer to a report goes out; one that we held too long proves nothing."""
+        """Notes a response; one held for over `PROMPT_S` may come too late and proves nothing."""
         if now - received_at > constants.PROMPT_S:
             self._last_answered = None
             return
@@ -36,29 +37,38 @@
         self._session_responses += 1
 
     def on_report(
-        self, key: ReportKey, ours: bool, tasks: set[tuple[str, int]], now: float, lease_s: float
+        self,
+        key: ReportKey,
+        has_token: bool,
+        tasks: set[tuple[str, int]],
+        now: float,
+        lease_s: float,
     ) -> None:
-        """A newer report came; `ours`: it shows our token, `tasks`: what it lists."""
+        """Evaluates a newer report for evidence about the previous response.
+
+        `has_token`: the report carries this term's token; `tasks`: the tasks that it lists.
+        Two leases without a new session prove that the machine receives responses.
+        """
         last, self._last_answered = self._last_answered, None
         launched, self.launch_orders_sent = self.launch_orders_sent, set()
         tenure, begun = self._session
         if key[0] != tenure:
-            # A whole session's answers were lost, unless it ended while it could not reach us.
+            # All responses of a session were lost, unless it ended while the machine was cut off.
             lost = last is not None and self._session_responses >= constants.UNHEARD
             if tenure and lost and now - begun > constants.UNHEARD_PART * lease_s:
                 self._lost_responses = constants.UNHEARD - 1
                 self._count_lost(now)
             self._session, self._session_responses = (key[0], now), 0
-        elif self.responses_lost_since is not None and ours and now - begun > 2 * lease_s:
-            # Its session would have ended by now, had it not heard us.
+        elif self.responses_lost_since is not None and has_token and now - begun > 2 * lease_s:
+            # Without any response its session would have ended by now.
             self._mark_received()
-        if ours and not self._has_shown_token:
-            # What came before may have been copies, whose answers nobody heard.
+        if has_token and not self._has_shown_token:
+            # Earlier reports may have been copies, whose responses no machine received.
             self._has_shown_token = True
             self._mark_received()
         if last is None or last >= key or last[0] != key[0]:
             return
-        if not ours or (launched and not launched & tasks):
+        if not has_token or (launched and not launched & tasks):
             self._count_lost(now)
         elif launched:
             self._mark_received()
