--- a/tests/test_absence_model.py
+++ b/tests/test_absence_model.py
@@ -1,6 +1,7 @@
-"""Proofs of absence: one worker, any number of leaders, lost, late and copied messages.
+"""Proofs of absence with one worker, several leaders, and lost, late and copied messages.
 
-A model draws what is sent and what arrives; what is called absent must be absent.
+A model draws what is sent and what arrives. Guards against a leader that takes an attempt for
+absent while it runs or can still start, so that a task would run twice.
 """
 
 import random
@@ -24,16 +25,16 @@
 from test_membership import QUICK
 from test_placement_rentals import spec
 
-LEASE_S, REPORT_S = 12.0, 3.0  # s; a worker's lease, and between two of its reports
+LEASE_S, REPORT_S = 12.0, 3.0  # s; a worker's lease, and the interval of its reports
 PICK = st.integers(0, 30)
 FATES = ["fine", "fine", "fine", "lost", "unheard", "late"]
 
 
-class Way(RuleBasedStateMachine):
-    """One worker as the protocol describes it, one leader after the other, and a bad way.
+class ProtocolModel(RuleBasedStateMachine):
+    """One worker as the protocol describes it, successive leaders, and an unreliable network.
 
-    Reports and answers are lost, answers come late, copies of any report come at any time.
-    Whatever a leader takes for surely absent is not there, and never will be.
+    Reports and answers are lost, answers arrive late, and copies of any report arrive at any
+    time. An attempt that a leader takes for absent must not be present then or later.
     """
 
     def __init__(self) -> None:
@@ -43,19 +44,19 @@
         # The worker.
         self.tenure, self.seq, self.baton = 1, 0, 0
         self.lease_from = self.clock.at
-        self.there: dict[tuple[str, int], str] = {}  # attempt -> status
-        self.flight: tuple[Report, float] | None = None  # its report without an answer yet
-        self.answer: dict[str, Any] | None = None  # on its way back
+        self.present: dict[tuple[str, int], str] = {}  # attempt -> status
+        self.in_flight: tuple[Report, float] | None = None  # unanswered report, time sent
+        self.answer: dict[str, Any] | None = None  # in transit to the worker
         self.sent: list[Report] = []
-        self.gone: set[tuple[str, int]] = set()  # said to be absent
+        self.gone: set[tuple[str, int]] = set()  # attempts that a leader took for absent
         self.live: dict[int, tuple[int, str]] = {}  # durable attempts
-        self.next = 1  # try numbers are never used again
+        self.next = 1  # try numbers are never reused
         self.log = OpLog(16 * 1024)
         self.lead()
 
     @rule()
     def lead(self) -> None:
-        """A new leader: it has the attempts on record, and no memory of any report."""
+        """A new leader starts with the attempts on record and without any report."""
         self.token += 10
         self.fleet = Fleet(self.clock, self.token, LEASE_S, REPORT_S)
         self.job = Job(JobValue(spec(nameId="run-000001", tasks=6), 0.0), 1, self.log)
@@ -70,34 +71,36 @@
     @rule(seconds=st.floats(0.1, 6.0))
     def time_passes(self, seconds: float) -> None:
         self.clock.at += seconds
-        if self.flight is not None and self.clock.at - self.flight[1] > 4.0:
-            self.flight = self.answer = None
+        if self.in_flight is not None and self.clock.at - self.in_flight[1] > 4.0:
+            self.in_flight = self.answer = None
         if self.clock.at > self.lease_from + LEASE_S:
             self.tenure += 1
-            self.there.clear()
+            self.present.clear()
             self.lease_from = self.clock.at
 
     def made(self) -> Report:
         self.seq += 1
-        tasks = [TaskReport(task, number, status) for (task, number), status in self.there.items()]
+        tasks = [
+            TaskReport(task, number, status) for (task, number), status in self.present.items()
+        ]
         out = Report("host-1", self.tenure, self.seq, self.baton, "quad", "a", tasks=tasks)
         self.sent.append(out)
         return out
 
-    @precondition(lambda self: self.flight is None)
+    @precondition(lambda self: self.in_flight is None)
     @rule(fate=st.sampled_from(FATES))
     def report(self, fate: str) -> None:
         made = self.made()
-        self.flight = made, self.clock.at
+        self.in_flight = made, self.clock.at
         if fate != "lost":
-            self.answer = self.take(made)
+            self.answer = self.handle_report(made)
         if fate in ("fine", "unheard") and self.answer is not None:
             self.answered(fate == "unheard")
 
-    @precondition(lambda self: self.flight is None and self.baton < self.token)
+    @precondition(lambda self: self.in_flight is None and self.baton < self.token)
     @rule()
     def an_earlier_leader_keeps_its_lease(self) -> None:
-        """It launches nothing any more, but may shelter who has not seen the next token."""
+        """It launches nothing, but may renew the lease of a worker that saw no later token."""
         self.made()
         if self.baton:
             self.lease_from = self.clock.at
@@ -105,10 +108,10 @@
     @precondition(lambda self: self.sent)
     @rule(pick=PICK)
     def a_copy_comes(self, pick: int) -> None:
-        self.take(self.sent[-1 - pick % len(self.sent)])  # nobody hears the answer
+        self.handle_report(self.sent[-1 - pick % len(self.sent)])  # the answer reaches nobody
 
-    def take(self, made: Report) -> dict[str, Any] | None:
-        """As `Reports.hello` does it."""
+    def handle_report(self, made: Report) -> dict[str, Any] | None:
+        """Handles a report as `ReportHandler.handle_report` does."""
         if made.baton > self.token:
             return None
         received = self.clock.at
@@ -139,24 +142,24 @@
         attempt.job.finish(attempt, False)
         self.live.pop(attempt.index, None)
 
-    @precondition(lambda self: self.flight is not None and self.answer is not None)
+    @precondition(lambda self: self.in_flight is not None and self.answer is not None)
     @rule()
     def a_late_answer_comes(self) -> None:
         self.answered(False)
 
     def answered(self, lost: bool) -> None:
-        assert self.flight is not None and self.answer is not None
-        (made, sent_at), answer = self.flight, self.answer
-        self.flight = self.answer = None
+        assert self.in_flight is not None and self.answer is not None
+        (made, sent_at), answer = self.in_flight, self.answer
+        self.in_flight = self.answer = None
         if lost or answer["baton"] < self.baton or made.tenure != self.tenure:
             return
         self.baton, self.lease_from = answer["baton"], max(self.lease_from, sent_at)
         for order in answer["orders"]:
             key = (order["task"], order["try"])
             if order["order"] == "launch":
-                self.there.setdefault(key, "running")
-            elif order["order"] == "kill" and key in self.there:
-                self.there[key] = "ended"
+                self.present.setdefault(key, "running")
+            elif order["order"] == "kill" and key in self.present:
+                self.present[key] = "ended"
 
     @precondition(lambda self: self.machine() is not None and len(self.job.waiting))
     @rule()
@@ -183,12 +186,12 @@
             for attempt in [a for a in machine.attempts.values() if every or a.decided]:
                 self.absent(machine, attempt)
 
-    @precondition(lambda self: "running" in self.there.values())
+    @precondition(lambda self: "running" in self.present.values())
     @rule(pick=PICK)
     def a_task_fails(self, pick: int) -> None:
-        """By itself: if its session ends before that is known, it is launched once more."""
-        running = [key for key, status in self.there.items() if status == "running"]
-        self.there[running[pick % len(running)]] = "ended"
+        """A task fails; if the session ends before a leader knows, it is launched once more."""
+        running = [key for key, status in self.present.items() if status == "running"]
+        self.present[running[pick % len(running)]] = "ended"
 
     @precondition(lambda self: self.job.live)
     @rule(pick=PICK)
@@ -200,91 +203,95 @@
     @invariant()
     def what_is_called_absent_is_absent(self) -> None:
         for key in self.gone:
-            assert self.there.get(key, "ended") == "ended", f"{key} is called absent and runs"
+            assert self.present.get(key, "ended") == "ended", f"{key} is called absent and runs"
 
 
-def _drive(seed: int, steps: int = 400) -> None:
-    """As hypothesis does it, with more of what matters and no shrinking."""
-    rng, way = random.Random(seed), Way()
-    parted = False  # the worker hears the last leader only; to the next one come copies
+def _run_random_steps(seed: int, steps: int = 400) -> None:
+    """Runs random steps like hypothesis, with more of the relevant ones and no shrinking."""
+    rng, model = random.Random(seed), ProtocolModel()
+    parted = False  # the worker reaches only the last leader; the next one gets copies
     for _ in range(steps):
         kind = rng.random()
         if kind < 0.3:
-            way.time_passes(rng.choice([0.5, 1.0, 3.0, 4.5, 4.5, 13.0 if kind < 0.05 else 2.0]))
-        elif kind < 0.55 and way.flight is None:
-            if parted and 0 < way.baton < way.token:
-                way.an_earlier_leader_keeps_its_lease()
+            model.time_passes(rng.choice([0.5, 1.0, 3.0, 4.5, 4.5, 13.0 if kind < 0.05 else 2.0]))
+        elif kind < 0.55 and model.in_flight is None:
+            if parted and 0 < model.baton < model.token:
+                model.an_earlier_leader_keeps_its_lease()
             else:
-                way.report(rng.choice(FATES))
-        elif kind < 0.6 and way.flight is not None and way.answer is not None:
-            way.a_late_answer_comes()
-        elif kind < 0.68 and way.flight is None and way.baton < way.token:
-            way.an_earlier_leader_keeps_its_lease()
-        elif kind < 0.78 and way.sent:
-            way.a_copy_comes(rng.randrange(8))
-        elif kind < 0.88 and way.machine() is not None and len(way.job.waiting):
-            way.place()
-        elif kind < 0.92 and way.machine() is not None:
-            way.sweep()
-        elif kind < 0.94 and way.job.live:
-            way.stop(rng.randrange(30))
-        elif kind > 0.97 and way.baton == way.token:
-            way.lead()
+                model.report(rng.choice(FATES))
+        elif kind < 0.6 and model.in_flight is not None and model.answer is not None:
+            model.a_late_answer_comes()
+        elif kind < 0.68 and model.in_flight is None and model.baton < model.token:
+            model.an_earlier_leader_keeps_its_lease()
+        elif kind < 0.78 and model.sent:
+            model.a_copy_comes(rng.randrange(8))
+        elif kind < 0.88 and model.machine() is not None and len(model.job.waiting):
+            model.place()
+        elif kind < 0.92 and model.machine() is not None:
+            model.sweep()
+        elif kind < 0.94 and model.job.live:
+            model.stop(rng.randrange(30))
+        elif kind > 0.97 and model.baton == model.token:
+            model.lead()
             parted = rng.random() < 0.5
         elif kind > 0.97 and rng.random() < 0.3:
             parted = False
-        way.what_is_called_absent_is_absent()
+        model.what_is_called_absent_is_absent()
 
 
-def _fail(seed: int, rounds: int = 20) -> None:
-    """Tasks fail, which no leader hears; they start again, and a new leader gets the copies."""
-    rng, way = random.Random(seed), Way()
+def _run_failures(seed: int, rounds: int = 20) -> None:
+    """Tasks fail unnoticed and are launched again; then a new leader gets copies of old reports."""
+    rng, model = random.Random(seed), ProtocolModel()
     for _ in range(rounds):
-        way.report("fine")
+        model.report("fine")
         for _ in range(2):
-            if way.machine() is not None and len(way.job.waiting):
-                way.place()
-        way.report("fine")
-        if "running" in way.there.values():
-            way.a_task_fails(rng.randrange(30))
+            if model.machine() is not None and len(model.job.waiting):
+                model.place()
+        model.report("fine")
+        if "running" in model.present.values():
+            model.a_task_fails(rng.randrange(30))
         for _ in range(rng.randrange(3)):
-            way.report("lost")
-            way.time_passes(5.0)  # it gives up
-        way.time_passes(rng.choice([1.0, 13.0]))
-        way.report(rng.choice(["fine", "fine", "lost"]))
-        way.time_passes(5.0)
-        way.lead()
+            model.report("lost")
+            model.time_passes(5.0)  # the worker stops waiting for its answer
+        model.time_passes(rng.choice([1.0, 13.0]))
+        model.report(rng.choice(["fine", "fine", "lost"]))
+        model.time_passes(5.0)
+        model.lead()
         for _ in range(rng.randrange(6)):
-            way.a_copy_comes(rng.randrange(8))  # kept for exactly this leader
-            way.what_is_called_absent_is_absent()
-        way.report("fine")
-        way.what_is_called_absent_is_absent()
+            model.a_copy_comes(rng.randrange(8))  # delayed until this leader started
+            model.what_is_called_absent_is_absent()
+        model.report("fine")
+        model.what_is_called_absent_is_absent()
 
 
 def _run() -> None:
     for seed in range(40):
-        _drive(seed)
-        _fail(seed)
+        _run_random_steps(seed)
+        _run_failures(seed)
 
 
-def test_what_is_called_absent_is_absent_whatever_copies_come() -> None:
+def test_attempts_called_absent_are_absent_whatever_copies_arrive() -> None:
+    """No sequence of lost, late and copied messages makes a leader miss a running attempt."""
     _run()
-    run_state_machine_as_test(Way, settings=QUICK)
+    run_state_machine_as_test(ProtocolModel, settings=QUICK)
 
 
 def _by_arrival(patch: pytest.MonkeyPatch) -> None:
-    plain = Fleet.accept_report
+    """Accepts reports in the order of arrival."""
+    original = Fleet.accept_report
 
     def take(self: Fleet, report: Report) -> Machine | None:
         machine = self.machines.get(report.host)
         if machine is not None and (report.tenure, report.seq) < (machine.tenure, machine.seq):
             machine.tenure, machine.seq = 0, 0
-        return plain(self, report)
+        return original(self, report)
 
     patch.setattr(Fleet, "accept_report", take)
 
 
 def _absence_by_any_report(patch: pytest.MonkeyPatch) -> None:
+    """Takes any report that does not list an attempt as proof of its absence."""
+
     def absent(self: Fleet, machine: Machine, attempt: Attempt) -> bool:
         return (attempt.name, attempt.number) not in machine.tasks
 
@@ -292,19 +299,22 @@
 
 
 def _lease_by_any_token(patch: pytest.MonkeyPatch) -> None:
+    """Takes a lease for over although an earlier leader may have renewed it."""
     patch.setattr(Fleet, "is_lease_over", Fleet.is_own_lease_over)
 
 
 def _any_end_is_believed(patch: pytest.MonkeyPatch) -> None:
+    """Takes an end from an earlier session for the end of the attempt."""
     patch.setattr(Fleet, "is_surely_ended", lambda self, machine, attempt, cause: True)
 
 
 @pytest.mark.parametrize(
     "bug", [_by_arrival, _absence_by_any_report, _lease_by_any_token, _any_end_is_believed]
 )
-def test_bugs_in_the_proofs_are_found(
+def test_weaker_proofs_of_absence_are_found(
     bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Each weaker rule of proof must make the model fail."""
     bug(monkeypatch)
     with pytest.raises(AssertionError, match="called absent"):
         _run()
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -1,5 +1,8 @@
-"""Machines that are mute, cut off with a controller, or gone; jobs bound to one zone; leaders
-that change ten times. Each story says how it knows that its meeting came about."""
+"""Machines that are unreachable, cut off with a controller, or gone, also across leader changes.
+
+Guards against tasks that run twice or are lost then, and against one-zone jobs that stall after
+losing machines. Each scenario asserts that the failure it is meant to cause did occur.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,8 +24,8 @@
 Story = Callable[[World], Awaitable[None]]
 
 
-class Watch:
-    """Work that is under way, and what became of it."""
+class SubmittedWork:
+    """Submits jobs to a world and waits for their start and end."""
 
     def __init__(self, world: World, jobs: int = 8, **changes: Any) -> None:
         self.world = world
@@ -50,11 +53,11 @@
 
 
 async def _mute(world: World, seconds: float, changes: int = 0) -> None:
-    """Half of the busy machines reach no controller; leaders change meanwhile."""
-    watch = Watch(world)
-    await watch.begun(16)
+    """Half of the busy machines reach no controller, while leaders change `changes` times."""
+    work = SubmittedWork(world)
+    await work.begun(16)
     chosen = _busy(world)[::2]
-    there = {(task.name, task.number) for host, task in world.present() if host.name in chosen}
+    present = {(task.name, task.number) for host, task in world.present() if host.name in chosen}
     sessions = {name: world.workers[name].tenure for name in chosen}
     kills = world.lease_ends
     world.mute(set(chosen), seconds)
@@ -70,25 +73,25 @@
         kept = {
             (task.name, task.number) for worker in left.values() for task in worker.tasks.values()
         }
-        assert kept & there
+        assert kept & present
     else:
-        # It came about: their sessions ended, or they were returned.
+        # The failure occurred: their sessions ended, or they were returned.
         assert all(worker.tenure > sessions[name] for name, worker in left.items())
-    await watch.over(150.0)
+    await work.over(150.0)
     node = _leader(world)
     assert node is not None and node.term is not None
-    for name in left.keys() & world.workers.keys():  # taken back
+    for name in left.keys() & world.workers.keys():  # back in service
         machine = node.term.fleet.machines.get(name)
         assert machine is None or machine.releasing or node.term.fleet.usable(machine), name
 
 
 async def _zone_away(world: World, leads: bool) -> None:
-    """One zone with its workers and a controller, which leads or does not, for 1.7 leases."""
+    """Cuts off a zone with its workers and a controller, leader or not, for 1.7 leases."""
     node = _leader(world)
     assert node is not None
     zone = next(z for z in world.ZONES if (node.settings.zone == z) == leads)
-    watch = Watch(world)
-    await watch.begun(16)
+    work = SubmittedWork(world)
+    await work.begun(16)
     inside = {m for m in world.members if world.nodes[m].settings.zone == zone}  # type: ignore[union-attr]
     inside |= {name for name, worker in world.workers.items() if worker.zone == zone}
     outside = {*world.members, *world.workers, "state", "cloud", "users"} - inside
@@ -98,14 +101,14 @@
     world.cut(inside, outside, 1.7 * world.LEASE_S, False)
     await asyncio.sleep(1.7 * world.LEASE_S)
     if leads:
-        assert len(world.store.written[LEADER_KEY]) > stamps  # another one led meanwhile
-    await watch.over(200.0)
+        assert len(world.store.written[LEADER_KEY]) > stamps  # another controller led meanwhile
+    await work.over(200.0)
 
 
 async def _all_away(world: World) -> None:
-    """All controllers for longer than a lease; then one is back, and later the others."""
-    watch = Watch(world)
-    await watch.begun(16)
+    """Stops all controllers for longer than a lease; one returns first, the others later."""
+    work = SubmittedWork(world)
+    await work.begun(16)
     before = world.lease_ends
     for member in world.members:
         world.crash(member)
@@ -115,13 +118,13 @@
     await asyncio.sleep(10.0)
     for member in ("n-0", "n-2"):
         world.boot(member)
-    await watch.over(200.0)
+    await work.over(200.0)
 
 
 async def _one_is_back(world: World) -> None:
-    """The lead is handed over and back, all end, and one returns within a second."""
-    watch = Watch(world)
-    await watch.begun(16)
+    """The lead is handed over and back, all controllers crash, and one returns within 1 s."""
+    work = SubmittedWork(world)
+    await work.begun(16)
     for _ in range(2):
         await _until(world, 20.0, lambda: _leader(world) is not None)
         node = _leader(world)
@@ -139,47 +142,47 @@
     for member in world.members:
         if not world.up(member):
             world.boot(member)
-    await watch.over(200.0)
+    await work.over(200.0)
 
 
 async def _ten_changes(world: World) -> None:
-    """Ten leaders end in two minutes; for half a minute of it the state service is out."""
-    watch = Watch(world, 12)
-    await watch.begun(16)
+    """Ten leaders end within two minutes, with the state service down for 30 s of it."""
+    work = SubmittedWork(world, 12)
+    await work.begun(16)
     stamps, end = len(world.store.written[LEADER_KEY]), world.now + 120.0
     ended = 0
     while world.now < end:
         if ended == 5:
             world.store.outage(30.0)
         node = _leader(world)
-        # Inside the outage nobody leads surely: who did is ended all the same.
+        # There may be no leader during the outage: then one of the members is restarted.
         member = node.settings.member if node is not None else world.members[ended % 3]
         world.spawn(world.restart(member, world.rng.uniform(0.1, 1.5)))
         ended += 1
         await asyncio.sleep(9.0)
     changes = len(world.store.written[LEADER_KEY]) - stamps
     assert ended >= 10 and changes >= 8, (ended, changes)
-    await watch.over(200.0)
+    await work.over(200.0)
 
 
 async def _more_than_room(world: World) -> None:
-    """Three times the region's CPUs, urgent and not, over links that lose and delay."""
+    """Work for three times the region's CPUs, over links that lose and delay messages."""
     world.loss = 0.05
     world.store.slow = (0.075, world.now + 90.0)
-    watch = Watch(world, 40, tasks=6, expectedS=15.0)
+    work = SubmittedWork(world, 40, tasks=6, expectedS=15.0)
     await asyncio.sleep(30.0)
     node = _leader(world)
     assert node is not None and node.term is not None
     assert sum(len(job.waiting) for job in node.term.jobs.values()) > 60
     await asyncio.sleep(60.0)
     world.loss = 0.0
-    await watch.over(400.0)
+    await work.over(400.0)
 
 
 async def _held(world: World, seconds: float) -> None:
-    """Reports of half of the busy machines come once a new leader has acted, all at once."""
-    watch = Watch(world)
-    await watch.begun(16)
+    """Reports of half of the busy machines arrive together, after a new leader has acted."""
+    work = SubmittedWork(world)
+    await work.begun(16)
     chosen = set(_busy(world)[::2])
     came: list[tuple[str, int]] = []
     for member in world.members:
@@ -204,7 +207,7 @@
     returned = chosen - world.workers.keys()
     assert bool(returned) == (seconds > 2.5 * world.LEASE_S), "the new leader has acted"
     assert not returned & heir.term.fleet.machines.keys(), "revived"
-    await watch.over(200.0)
+    await work.over(200.0)
 
 
 STORIES: list[tuple[str, Story]] = [
@@ -226,25 +229,27 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize(("name", "story"), STORIES)
 def test_rules_hold_and_no_task_is_lost(name: str, story: Story, seed: int) -> None:
+    """No scenario may run a task twice, lose one or leave a job unfinished."""
     tell(story, seed, loss=0.0)
 
 
 def _forgets_attempts(patch: Patch) -> None:
-    """A new leader does not put on the machines what earlier ones launched."""
-    plain = Fleet.attach_attempt
+    """A new leader ignores the attempts that earlier leaders launched."""
+    original = Fleet.attach_attempt
 
     def hold(self: Fleet, attempt: Any) -> None:
         if attempt.decided:
-            plain(self, attempt)
+            original(self, attempt)
 
     patch.setattr(Fleet, "attach_attempt", hold)
 
 
-def _forgets_who_is_gone(patch: Patch) -> None:
-    plain = Fleet.remove_machine
+def _forgets_removed_machines(patch: Patch) -> None:
+    """Machines proven gone are not remembered, so that late reports add them again."""
+    original = Fleet.remove_machine
 
     def drop(self: Fleet, machine: Any) -> Any:
-        lost = plain(self, machine)
+        lost = original(self, machine)
         self.gone.pop(machine.name)
         return lost
 
@@ -254,7 +259,7 @@
 BUGS: list[tuple[str, Callable[[Patch], None], str]] = [
     ("mute for two leases", _gone_when_silent, "ran_twice"),
     ("mute, and two changes of leader", _gone_when_silent, "ran_twice"),
-    ("held until they are returned", _forgets_who_is_gone, "revived"),
+    ("held until they are returned", _forgets_removed_machines, "revived"),
     ("a zone with who leads", _gone_when_silent, "ran_twice"),
     ("a zone with who does not lead", _gone_when_silent, "ran_twice"),
     ("all controllers", _live_is_done, "not_done"),
@@ -265,9 +270,10 @@
 
 
 @pytest.mark.parametrize(("name", "bug", "rule"), BUGS)
-def test_a_bug_in_what_keeps_the_rule_is_found(
+def test_a_bug_that_breaks_a_rule_is_found(
     name: str, bug: Callable[[Patch], None], rule: str, monkeypatch: Patch
 ) -> None:
+    """Each bug must break the given rule in its scenario with one of five seeds."""
     bug(monkeypatch)
     story = dict(STORIES)[name]
     found = []
@@ -284,8 +290,8 @@
 # -- jobs bound to one zone ---------------------------------------------------------------------
 
 
-class Pools(World):
-    """Two cheap machines a zone, and dear ones in both."""
+class SmallPools(World):
+    """Offers two spot and two on-demand machines in each zone."""
 
     ROOMS = {
         ("small", "a", True): 2,
@@ -301,10 +307,10 @@
 
 @pytest.mark.parametrize("bug", [False, True])
 @pytest.mark.parametrize("shape", ["batch", "service"])
-def test_a_one_zone_job_that_lost_a_machine_goes_on_in_its_zone(
+def test_a_one_zone_job_that_loses_a_machine_continues_in_its_zone(
     shape: str, bug: bool, monkeypatch: Patch
 ) -> None:
-    """The cheap room is in the other zone, where it may not go; its own has dear room."""
+    """Spot machines are left only in the other zone, so on-demand ones must be rented."""
     if bug:
         monkeypatch.setattr(WaitingWork, "_bound", lambda self, job: job.spec)
 
@@ -327,29 +333,29 @@
 
     if bug:
         with pytest.raises((AssertionError, Broken)):
-            tell(story, 2, loss=0.0, kind=Pools)
+            tell(story, 2, loss=0.0, kind=SmallPools)
     else:
-        tell(story, 2, loss=0.0, kind=Pools)
+        tell(story, 2, loss=0.0, kind=SmallPools)
 
 
-def _anywhere(patch: Patch) -> None:
+def _ignore_zones(patch: Patch) -> None:
     patch.setattr("chalkgrade.sharing.gates.eligible_zones", lambda spec, held, zones: set(zones))
 
 
 LOST: list[tuple[str, Callable[[Patch], None] | None]] = [
     ("gone", None),
     ("cut off", None),
-    ("gone", _anywhere),
-    ("cut off", _anywhere),
+    ("gone", _ignore_zones),
+    ("cut off", _ignore_zones),
     ("cut off", _gone_when_silent),
 ]
 
 
 @pytest.mark.parametrize(("how", "bug"), LOST)
-def test_a_one_zone_array_whose_zone_is_lost_begins_again_elsewhere(
+def test_a_one_zone_array_whose_zone_is_lost_restarts_elsewhere(
     how: str, bug: Callable[[Patch], None] | None, monkeypatch: Patch
 ) -> None:
-    """Machines that died, and machines that run on unreached: elsewhere only once surely absent."""
+    """It restarts elsewhere only once its tasks are proven absent, also if they still run."""
     if bug is not None:
         bug(monkeypatch)
 
@@ -359,13 +365,13 @@
         name = spec["nameId"]
         await _until(world, 60.0, lambda: len(world.of_job(name)) == 7)
         (zone,) = _zones(world, name)
-        other = next(z for z in world.ZONES if z != zone)  # has room meanwhile
+        other = next(z for z in world.ZONES if z != zone)  # the other zone has room meanwhile
         world.spawn(world.user(_long(2, 1) | {"site": other, "expectedS": 250.0}, None))
         await _until(world, 60.0, lambda: bool(world.of_job("run-000002")))
         for pool in world.cloud.rooms:
             if pool[1] == zone:
                 world.cloud.rooms[pool] = 0
-        # One after the other: what is left of the job binds what the first one had.
+        # One after the other: the remaining tasks bind the lost ones to the zone.
         hosts = sorted({worker.name for worker, _ in world.of_job(name)})
         assert len(hosts) == 2
         for host in hosts:
@@ -388,24 +394,22 @@
             raise world.failure
 
     if bug is None:
-        tell(story, 3, loss=0.0, kind=Pools)
+        tell(story, 3, loss=0.0, kind=SmallPools)
         return
     with pytest.raises((Broken, AssertionError), match="wrong_place|ran_twice"):
-        tell(story, 3, loss=0.0, kind=Pools)
+        tell(story, 3, loss=0.0, kind=SmallPools)
 
 
 # -- a machine that a job failed on -------------------------------------------------------------
 
 
-class Single(World):
+class OneMachine(World):
     ROOMS = {("small", "a", False): 1}
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_a_job_goes_back_to_the_only_machine_that_it_failed_on(
-    bug: bool, monkeypatch: Patch
-) -> None:
-    """Which others keep busy: it is not returned, and none is rented beside its room."""
+def test_a_job_returns_to_the_only_machine_that_it_failed_on(bug: bool, monkeypatch: Patch) -> None:
+    """Another job keeps the machine busy, so it is not returned; it has room, so none is rented."""
     if bug:
         monkeypatch.setattr(constants, "SHUN_S", 1e9)
 
@@ -420,11 +424,11 @@
         worker.changed.set()
         failed_at = world.now
         await _until(world, 89.0, lambda: bool(world.of_job(name)))
-        assert world.now > failed_at + 30.0  # not at once: it may be sick
+        assert world.now > failed_at + 30.0  # not at once, as the machine may be faulty
         await _until(world, 60.0, lambda: world.jobs[name]["over"] == "done")
 
     if bug:
         with pytest.raises((AssertionError, Broken)):
-            tell(story, 4, loss=0.0, kind=Single)
+            tell(story, 4, loss=0.0, kind=OneMachine)
     else:
-        tell(story, 4, loss=0.0, kind=Single)
+        tell(story, 4, loss=0.0, kind=OneMachine)
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -1,4 +1,8 @@
-"""Machines that hear nothing, late copies of reports, controllers cut off with their workers."""
+"""One-way network failures, late copies of reports, and leaders cut off with their workers.
+
+Guards against machines that get work but never receive an order, machines that late copies of
+their reports bring back, and work lost while a leader is cut off.
+"""
 
 import asyncio
 from pathlib import Path
@@ -25,29 +29,31 @@
 LEASE_S, REPORT_S = 12.0, 3.0
 
 
-def test_a_machine_is_deaf_by_evidence_only() -> None:
-    """Three answers in a row, or a session's; held answers and silence prove nothing."""
+def test_lost_responses_need_evidence() -> None:
+    """Evidence is three lost answers in a row or a session's; late answers and silence are not."""
     key = (1, 1)
-    heard = ResponseTracker()
+    tracker = ResponseTracker()
     for number in range(2, 9):
-        heard.on_response_sent(key, 100.0, 104.0)  # held for four seconds: it came too late anyway
+        tracker.on_response_sent(key, 100.0, 104.0)  # held for 4 s, too late for the worker
         key = (1, number)
-        heard.on_report(key, False, set(), 104.0 + number, LEASE_S)
-    assert not heard.responses_lost
+        tracker.on_report(key, False, set(), 104.0 + number, LEASE_S)
+    assert not tracker.responses_lost
     for number in range(9, 12):
-        assert not heard.responses_lost
-        heard.on_response_sent(key, 200.0, 200.1)
+        assert not tracker.responses_lost
+        tracker.on_response_sent(key, 200.0, 200.1)
         key = (1, number)
-        heard.on_report(key, False, set(), 200.0 + number, LEASE_S)
-    assert heard.responses_lost
-    heard.launch_orders_sent.add(("run-1/0", 1))
-    heard.on_response_sent(key, 300.0, 300.0)
-    heard.on_report((1, 99), True, {("run-1/0", 1)}, 303.0, LEASE_S)
-    assert not heard.responses_lost  # it lists what was launched
+        tracker.on_report(key, False, set(), 200.0 + number, LEASE_S)
+    assert tracker.responses_lost
+    tracker.launch_orders_sent.add(("run-1/0", 1))
+    tracker.on_response_sent(key, 300.0, 300.0)
+    tracker.on_report((1, 99), True, {("run-1/0", 1)}, 303.0, LEASE_S)
+    assert not tracker.responses_lost  # it lists what was launched
 
 
 @pytest.mark.parametrize("case", ["few", "zone", "new leader"])
-def test_machines_that_hear_nothing_lose_their_work_to_others_and_come_back(case: str) -> None:
+def test_work_of_machines_without_responses_moves_and_they_come_back(case: str) -> None:
+    """Machines report but receive nothing for 60 s: their jobs must be done elsewhere in time."""
+
     async def story(world: World) -> None:
         names = []
         for number in range(1, 13):
@@ -79,46 +85,50 @@
                     if machine is not None and world._cut("n-0", name) is not None:
                         assert not node.term.fleet.usable(machine), name
             await asyncio.sleep(0.5)
-        for job in world.jobs.values():  # not blamed on the job
+        for job in world.jobs.values():  # the failures are not attributed to the jobs
             assert job["over"] == "done"
 
     tell(story, loss=0.0)
 
 
-def test_a_deaf_machine_given_one_attempt_after_another_is_found(
+def test_a_machine_without_responses_that_gets_more_attempts_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Without the detection, attempts are placed there one after the other and jobs stay open."""
     monkeypatch.setattr(ResponseTracker, "responses_lost", property(lambda self: False))
     with pytest.raises(AssertionError):
-        test_machines_that_hear_nothing_lose_their_work_to_others_and_come_back("few")
+        test_work_of_machines_without_responses_moves_and_they_come_back("few")
 
 
 def test_a_copy_does_not_bring_back_a_machine_that_is_gone() -> None:
-    """Under a new leader, whose memory and lists know nothing of it.
+    """A new leader knows nothing of a machine that was removed before its term.
 
-    Neither several copies nor one of its very first report, which shows no token yet: such
-    were believed once.
+    Neither several copies of its reports nor one of its first report, which carries no token, may
+    make the machine usable.
     """
     clock = HandClock()
-    young = Fleet(clock, 50, LEASE_S, REPORT_S)
+    new_leader = Fleet(clock, 50, LEASE_S, REPORT_S)
     made = Report("host-9", 2, 40, 41, "quad", "a")
-    machine = young.accept_report(made)
-    assert machine is not None and not young.usable(machine)
-    assert young.accept_report(made) is None and not young.usable(machine)
-    assert young.accept_report(Report("host-9", 2, 41, 41, "quad", "a")) is machine
-    assert not young.usable(machine)
+    machine = new_leader.accept_report(made)
+    assert machine is not None and not new_leader.usable(machine)
+    assert new_leader.accept_report(made) is None and not new_leader.usable(machine)
+    assert new_leader.accept_report(Report("host-9", 2, 41, 41, "quad", "a")) is machine
+    assert not new_leader.usable(machine)
     machine.listed_at = clock.now()
-    assert young.usable(machine)
-    new = young.accept_report(Report("host-10", 1, 1, 0, "quad", "a"))
-    assert new is not None and not young.usable(new)
-    assert young.accept_report(Report("host-10", 1, 2, 50, "quad", "a")) is new
-    assert young.usable(new)  # it has heard us, so it is there
-    young.get_or_add("host-11", "quad", "a", True).rented_this_term = True
-    hired = young.accept_report(Report("host-11", 1, 1, 0, "quad", "a"))
-    assert hired is not None and young.usable(hired)  # rented by us: no report is older
+    assert new_leader.usable(machine)
+    new = new_leader.accept_report(Report("host-10", 1, 1, 0, "quad", "a"))
+    assert new is not None and not new_leader.usable(new)
+    assert new_leader.accept_report(Report("host-10", 1, 2, 50, "quad", "a")) is new
+    assert new_leader.usable(new)  # it carries this term's token, so the machine exists
+    new_leader.get_or_add("host-11", "quad", "a", True).rented_this_term = True
+    hired = new_leader.accept_report(Report("host-11", 1, 1, 0, "quad", "a"))
+    # Rented in this term, so no report can be older.
+    assert hired is not None and new_leader.usable(hired)
 
 
-def test_a_copy_at_another_controller_is_no_worker_that_came_back() -> None:
+def test_a_copy_at_another_controller_is_not_a_returning_worker() -> None:
+    """Late copies at a follower must not look like a worker that could not reach the leader."""
+
     async def story(world: World) -> None:
         leader = _leader(world)
         assert leader is not None
@@ -132,7 +142,7 @@
             assert answer == (status, {"reportsTo": lead})
         assert not reception.relayed and not reception.bounced
         assert other.views.of[lead].returned_at == before
-        # A newer one at once: what came before was a copy, and this is the worker itself.
+        # A newer report at once: the earlier ones were copies, and this is from the worker.
         raw = raw.replace(b'"seq":5', b'"seq":8')
         answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
         assert answer == (421, {"reportsTo": lead}) and not reception.relayed
@@ -140,14 +150,14 @@
         await asyncio.sleep(1.0)
         raw = raw.replace(b'"seq":8', b'"seq":9')
         await world.within(other.settings.member, other.handle("POST", "/hello", raw))
-        assert other.views.of[lead].returned_at > before  # a newer report: it did come back
+        assert other.views.of[lead].returned_at > before  # newer and later: it did come back
 
     tell(story, loss=0.0)
 
 
 @pytest.mark.parametrize("hold", [False, True])
-def test_a_leader_cut_off_with_its_workers_lets_them_go_in_time(hold: bool) -> None:
-    """They lose no work, and the next leader has them within seconds, not after 20."""
+def test_a_leader_cut_off_with_its_workers_releases_them_in_time(hold: bool) -> None:
+    """No work is lost, and the next leader gets the workers within seconds rather than 20 s."""
 
     async def story(world: World) -> None:
         for number in range(1, 7):
@@ -162,12 +172,14 @@
             await asyncio.sleep(5.0)
             heir = _leader(world)
             assert heir is not None and heir.settings.member != old and heir.term is not None
-            there = set(world.workers)
+            before_cut = set(world.workers)
 
-            def moved(heir: Any = heir, there: set[str] = there) -> bool:
+            def moved(heir: Any = heir, before_cut: set[str] = before_cut) -> bool:
                 seen = heir.term.fleet.machines
-                fresh = [n for n in there & world.workers.keys() if n in seen and seen[n].token]
-                return len(fresh) >= 0.9 * len(there & world.workers.keys())
+                fresh = [
+                    n for n in before_cut & world.workers.keys() if n in seen and seen[n].token
+                ]
+                return len(fresh) >= 0.9 * len(before_cut & world.workers.keys())
 
             await _until(world, 9.0, moved)
             assert world.now - cut_at < 14.0
@@ -180,8 +192,8 @@
     tell(story, loss=0.0)
 
 
-def test_in_an_outage_for_all_workers_stay_though_controllers_are_parted() -> None:
-    """Who comes back to an old leader after a look around is kept: nobody else can lead."""
+def test_in_a_state_outage_workers_stay_with_a_leader_that_is_cut_off() -> None:
+    """Workers that find no other leader return to the old one: nobody else can lead then."""
 
     async def story(world: World) -> None:
         for number in range(1, 5):
@@ -200,8 +212,8 @@
     tell(story, loss=0.0)
 
 
-class Troubled(World):
-    """Half of all troubles are of the new kinds."""
+class OneWayFaults(World):
+    """Makes half of the faults one-way failures, copies and isolated leaders."""
 
     KINDS = 21
 
@@ -210,16 +222,17 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_day_of_the_new_troubles(seed: int) -> None:
-    world = play(seed + 300, jobs=30, kind=Troubled)
+def test_a_day_of_one_way_faults(seed: int) -> None:
+    """All jobs finish, and users get answers, on a random day with many of these faults."""
+    world = play(seed + 300, jobs=30, kind=OneWayFaults)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
     assert world.silent_most < 20.0
     assert max(world.largest_begin().values()) < 240.0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_days_of_troubles_with_pipelines_and_wide_jobs(seed: int) -> None:
-    """The experiment's days; long searches run it by itself."""
+def test_days_of_faults_with_pipelines_and_wide_jobs(seed: int) -> None:
+    """Runs days of the faults experiment, which can also run alone over more seeds."""
     found = troubles.play(seed)
     assert not found["broken"], found["why"]
     assert found["lost"] == found["copies_believed"] == 0
@@ -235,7 +248,8 @@
     return World(loop, 1), loop
 
 
-def test_silence_is_found_and_counts_only_once_troubles_are_over() -> None:
+def test_silence_is_found_and_counted_only_after_faults() -> None:
+    """The check fails if a user gets no answer for 75 s, counted from the end of faults."""
     world, loop = _history()
     try:
         world.jobs["run-1"] = {"spec": spec_of("run-1"), "aborted": None, "accepted": True}
@@ -250,7 +264,7 @@
         world.questioned("run-1", False)
         loop._virtual.now = 1154.0
         world.questioned("run-1", False)
-        world.calm_from = 1150.0  # trouble lasted until then
+        world.calm_from = 1150.0  # faults lasted until then
         loop._virtual.now = 1220.0
         world.questioned("run-1", False)
         loop._virtual.now = 1226.0
@@ -265,7 +279,8 @@
     return {**plain, "tasks": tasks, "vcpus": 1.0, "expectedS": 1.0}
 
 
-def test_the_largest_jobs_of_a_class_are_looked_at_by_themselves() -> None:
+def test_the_largest_jobs_of_a_class_are_checked_separately() -> None:
+    """A few large jobs that are served late must not vanish among many small ones."""
     world, loop = _history()
     try:
         for number in range(20):
@@ -296,7 +311,8 @@
         ('kind = "one-way"', "faults[0].kind: "),
     ],
 )
-def test_wrong_troubles_in_a_day_are_one_plain_line(fault: str, wrong: str, tmp_path: Path) -> None:
+def test_invalid_faults_in_a_day_give_one_line(fault: str, wrong: str, tmp_path: Path) -> None:
+    """An invalid fault in a day's file exits with one line that names the field."""
     text = EXAMPLE.read_text()
     begin = text.find("[[faults]]")
     kept = text[:begin] if begin >= 0 else text
@@ -308,6 +324,8 @@
 
 
 def _one_by_one(patch: pytest.MonkeyPatch) -> None:
+    """Looks up each job with a request of its own, and refuses when over the limit."""
+
     async def present(self: Lookups, name: str) -> set[str]:
         if not self._ledger.asking.take():
             raise NoAnswer("too many questions")
@@ -317,8 +335,8 @@
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_no_jobs_questions_are_last_for_ever(bug: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Jobs that ended long ago, at nodes that know none, beside a storm about unknown ids."""
+def test_no_lookup_starves_behind_others(bug: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Restarted nodes must answer for ended jobs during a flood of requests for unknown ids."""
     if bug:
         _one_by_one(monkeypatch)
     silent: dict[str, float] = {}
--- a/tests/test_reports_at_start.py
+++ b/tests/test_reports_at_start.py
@@ -1,4 +1,8 @@
-"""Old reports at a leader that has just begun: what is believed of them, and what never is."""
+"""Copies of old reports that arrive at a new leader.
+
+Guards against tasks that run twice, work placed on machines that no longer exist, working machines
+taken for unreachable, and wrong run times, all because of reports from an earlier term.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +24,7 @@
 
 
 async def _new_term(world: World, seconds: float = 15.0) -> Term:
-    """End who leads; the term of the next one, before any worker was answered in it."""
+    """Restarts the leader; returns the next leader's term before any worker gets an answer."""
     old = _leader(world)
     assert old is not None
     world.spawn(world.restart(old.settings.member, 5.0))
@@ -38,8 +42,8 @@
     return node.term
 
 
-async def _give(world: World, bodies: list[dict[str, Any]]) -> None:
-    """Old reports arrive at every controller, one after the other."""
+async def _deliver(world: World, bodies: list[dict[str, Any]]) -> None:
+    """Delivers old reports to every controller, one after the other."""
     for body in bodies:
         for member in world.members:
             if world.up(member):
@@ -47,27 +51,31 @@
         await asyncio.sleep(0.02)
 
 
-def _told(world: World) -> None:
+def _raise_failure(world: World) -> None:
     if world.failure is not None:
         raise world.failure
 
 
 def _any_end(patch: Patch) -> None:
-    """What was done before: whatever a report lists as ended is over."""
+    """Takes any end in a report for the end of the attempt."""
     patch.setattr(Fleet, "is_surely_ended", lambda self, machine, attempt, cause: True)
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_an_end_in_an_earlier_session_is_not_the_end(bug: bool, monkeypatch: Patch) -> None:
-    """A task failed while its machine was cut off, was launched again into the next session, and
-    a new leader gets the old report first: it must not start the task elsewhere beside it."""
+def test_an_end_in_an_earlier_session_does_not_end_the_attempt(
+    bug: bool, monkeypatch: Patch
+) -> None:
+    """A task fails while its machine is cut off and is launched again in the next session.
+
+    A new leader that gets the old report first must not start the task elsewhere as well.
+    """
     if bug:
         _any_end(monkeypatch)
 
     async def story(world: World) -> None:
         spec = _long(1, 1) | {"expectedS": 80.0}
         world.spawn(world.user(spec, None))
-        for number in range(2, 5):  # machines that the task could go to
+        for number in range(2, 5):  # other machines that could run the task
             world.spawn(world.user(_long(number, 3) | {"expectedS": 60.0}, None))
         name = spec["nameId"]
 
@@ -76,7 +84,7 @@
 
         await _until(world, 90.0, runs)
         worker, task = world.of_job(name)[0]
-        # Its session ends while it is cut off, and the first report of the next one comes at once.
+        # Its session ends while it is cut off; the first report of the next one arrives at once.
         left = worker.lease_from + world.LEASE_S - world.now
         world.cut({worker.name}, set(world.members), left + 0.02, False)
         await asyncio.sleep(1.0)
@@ -84,17 +92,17 @@
         copy = worker.report()
         assert [e["cause"] for e in copy["tasks"] if e["task"] == task.name] == ["error"]
         await _until(world, 30.0, lambda: worker.tenure > copy["tenure"] and runs())
-        assert world.of_job(name)[0][0] is worker  # the same attempt once more, same machine
+        assert world.of_job(name)[0][0] is worker  # the same attempt again, on the same machine
         assert (task.name, task.number) in worker.tasks
         world.cut({worker.name}, set(world.members), 8.0, False)
         term = await _new_term(world)
-        await _give(world, [copy])
+        await _deliver(world, [copy])
         await asyncio.sleep(0.3)
         machine = term.fleet.machines[worker.name]
-        assert machine.tenure == copy["tenure"]  # it was taken, before any true report
+        assert machine.tenure == copy["tenure"]  # the copy was accepted before any current report
         assert term.leadership.acting()
         await asyncio.sleep(25.0)
-        _told(world)
+        _raise_failure(world)
         assert (task.name, task.number) in worker.tasks, "given up, though it was there"
         await _until(world, 200.0, lambda: world.jobs[name]["over"] == "done")
 
@@ -105,17 +113,18 @@
         tell(story, 3, loss=0.0)
 
 
-def _no_doubt(patch: Patch) -> None:
+def _always_confirmed(patch: Patch) -> None:
+    """Takes every reporting machine for an existing one."""
     patch.setattr(Fleet, "is_unconfirmed", lambda self, machine: False)
 
 
-def _doubted_once(patch: Patch) -> None:
-    """What was done before: two reports, or one without a token, were enough."""
+def _confirmed_by_two_reports(patch: Patch) -> None:
+    """Takes two reports, or one without a token, as enough evidence of a machine."""
     seen: dict[str, int] = {}
-    plain = Fleet.accept_report
+    original = Fleet.accept_report
 
     def take(self: Fleet, report: Any) -> Any:
-        machine = plain(self, report)
+        machine = original(self, report)
         if machine is not None:
             seen[report.host] = seen.get(report.host, 0) + 1
         return machine
@@ -128,11 +137,11 @@
     patch.setattr(Fleet, "is_unconfirmed", doubtful)
 
 
-@pytest.mark.parametrize("bug", [None, _no_doubt, _doubted_once])
-def test_copies_do_not_bring_back_a_machine_that_is_gone(
+@pytest.mark.parametrize("bug", [None, _always_confirmed, _confirmed_by_two_reports])
+def test_copies_do_not_bring_back_a_removed_machine(
     bug: Callable[[Patch], None] | None, monkeypatch: Patch
 ) -> None:
-    """Its first report, without a token, and several in a row; work waits that would fit it."""
+    """Copies of its first report, without a token, and of several later ones, while work waits."""
     if bug is not None:
         bug(monkeypatch)
 
@@ -147,10 +156,10 @@
         later = [[body | {"seq": 9}, body | {"seq": 10, "baton": 3}] for body in first[1:]]
         for name in chosen:
             world.cloud.remove(name)
-        await asyncio.sleep(2 * world.settings.cluster.cloud.list_lag_s + 35.0)  # in no list
+        await asyncio.sleep(2 * world.settings.cluster.cloud.list_lag_s + 35.0)  # in no list now
         term = await _new_term(world)
         rows = [body for pair in later for body in pair]
-        await _give(world, [*first, *rows])
+        await _deliver(world, [*first, *rows])
         await asyncio.sleep(0.1)
         assert all(term.fleet.machines[name].reported_at is not None for name in chosen)
         assert any(len(job.waiting) for job in term.jobs.values())
@@ -168,19 +177,19 @@
 
 
 def _never_cleared(patch: Patch) -> None:
-    """What was done before: that a report shows our token said nothing of the way back."""
-    plain = ResponseTracker.on_report
+    """Ignores that a report with this term's token proves a received response."""
+    original = ResponseTracker.on_report
 
     def reported(self: ResponseTracker, *args: Any) -> None:
         self._has_shown_token = True
-        plain(self, *args)
+        original(self, *args)
 
     patch.setattr(ResponseTracker, "on_report", reported)
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_copies_make_no_sound_machine_deaf(bug: bool, monkeypatch: Patch) -> None:
-    """Three copies in a row are three answers that nobody took."""
+def test_copies_do_not_make_a_machine_unreachable(bug: bool, monkeypatch: Patch) -> None:
+    """Three copies in a row look like three lost answers, since no machine receives them."""
     if bug:
         _never_cleared(monkeypatch)
 
@@ -191,17 +200,17 @@
         names = sorted({worker.name for worker, _ in world.present()})
         copies = [world.workers[name].report() for _ in range(4) for name in names]
         term = await _new_term(world)
-        await _give(world, copies)
+        await _deliver(world, copies)
         taken = [n for n in names if term.fleet.machines[n].response_tracker._lost_responses >= 2]
-        assert taken  # answers to copies counted, until the machine itself was heard
+        assert taken  # answers to copies count as lost until the machine itself reports
         await asyncio.sleep(2 * world.REPORT_S)
-        _told(world)
-        deaf = [
+        _raise_failure(world)
+        unreachable = [
             n
             for n in names
             if n in world.workers and term.fleet.machines[n].response_tracker.responses_lost
         ]
-        assert not deaf, "deaf"
+        assert not unreachable, "deaf"
 
     if bug:
         with pytest.raises(AssertionError, match="deaf"):
@@ -210,11 +219,11 @@
         tell(story, 5, loss=0.0)
 
 
-class ForNext(World):
-    """Copies of half of all reports, kept for each next leader, while leaders end."""
+class CopiesForNextLeader(World):
+    """Holds copies of half of all reports for each next leader, while leaders end."""
 
-    first = 0  # copies that were the first that a leader got of their machine
-    behind = 0  # and those that came after a true one
+    first = 0  # copies that were a leader's first report of their machine
+    behind = 0  # copies that arrived after a current report
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -239,28 +248,31 @@
         await self.servers[member](source, "POST", "/hello", body)
 
     def trouble(self, kind: int, seconds: float) -> None:
-        """Leaders end, machines are cut off or fail tasks, others come and go."""
+        """Restricts faults to ends of leaders, cut off or failing machines, and other members."""
         super().trouble([0, 1, 4, 8, 9, 10][kind % 6], seconds)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_days_with_copies_for_each_next_leader(seed: int) -> None:
-    ForNext.first = ForNext.behind = 0
-    world = play(seed + 40, jobs=30, kind=ForNext)
-    assert world.given > 20 and ForNext.first and ForNext.behind
+    """All jobs finish although each new leader gets copies of old reports, often first."""
+    CopiesForNextLeader.first = CopiesForNextLeader.behind = 0
+    world = play(seed + 40, jobs=30, kind=CopiesForNextLeader)
+    assert world.given > 20 and CopiesForNextLeader.first and CopiesForNextLeader.behind
     assert not [name for name, job in world.jobs.items() if not job["over"]]
     assert world.silent_most < 75.0
 
 
 @pytest.mark.parametrize("bug", [False, True])
-def test_what_ran_under_an_earlier_leader_is_no_short_run(bug: bool, monkeypatch: Patch) -> None:
-    """Its first report to us is not its beginning: estimates would fall with each new leader."""
+def test_runs_begun_under_an_earlier_leader_are_not_taken_for_short(
+    bug: bool, monkeypatch: Patch
+) -> None:
+    """Their start was not observed; counted from the first report, estimates would fall."""
     seen: list[float] = []
-    plain = Queues.observe_run
+    original = Queues.observe_run
 
     def observe_run(self: Queues, job: Any, seconds: float) -> None:
         seen.append(seconds)
-        plain(self, job, seconds)
+        original(self, job, seconds)
 
     monkeypatch.setattr(Queues, "observe_run", observe_run)
     if bug:
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,8 @@
-"""The layout and the seams: imports point one way, and each seam is really asked."""
+"""Package layering and the extension points of a term.
+
+Guards against imports from a lower layer to a higher one, import cycles, and start constraints or
+component hooks that are never called.
+"""
 
 import ast
 import asyncio
@@ -20,26 +24,27 @@
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.sharing import gates
 
-# A package may take from those before it, and from the modules at the root.
+# A package may import from those before it, and from the modules of the root package.
 ORDER = ("state", "membership", "record", "machines", "extensions", "pipelines", "sharing")
 ORDER += ("renting", "licences", "moves", "leading", "serving", "region", "experiments")
 
 
-def test_imports_point_one_way() -> None:
+def test_imports_follow_the_layering() -> None:
+    """Fails if a package imports from one that comes after it in ORDER."""
     root = Path(chalkgrade.__file__).parent
     for path in root.rglob("*.py"):
-        here = path.relative_to(root).parts
+        importer = path.relative_to(root).parts
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.ImportFrom) or not (node.module or "").startswith("chalkg"):
                 continue
-            taken = (node.module or "").split(".")[1:]
-            if len(here) == 1 or not taken or taken[0] not in ORDER:
-                continue  # the root has only what all may take, and the command line
-            assert ORDER.index(taken[0]) <= ORDER.index(here[0]), f"{path}: {node.module}"
+            imported = (node.module or "").split(".")[1:]
+            if len(importer) == 1 or not imported or imported[0] not in ORDER:
+                continue  # root modules: shared by all, and the command line
+            assert ORDER.index(imported[0]) <= ORDER.index(importer[0]), f"{path}: {node.module}"
 
 
 class _Pool(StartConstraint):
-    """Two of all tasks at once, whatever room there is."""
+    """Lets two tasks run at once, whatever room there is."""
 
     def __init__(self) -> None:
         self.free = 0
@@ -57,8 +62,8 @@
         return "" if self.free > 0 else "two run"
 
 
-class _Two(Component):
-    """A subsystem with all that a part can have."""
+class _TestComponent(Component):
+    """A component that uses every extension point."""
 
     def __init__(self) -> None:
         self.start_constraints = [_Pool()]
@@ -92,62 +97,65 @@
         yield gauge("two", "Tasks of the test", 2.0)
 
 
-class _TwoAtOnce(World):
-    """Sees whether more than two tasks are ever present."""
+class _TwoAtOnceWorld(World):
+    """Fails if more than two tasks are ever present at once."""
 
     most = 0
 
     def check_start(self, worker: Any, task: Any) -> None:
         super().check_start(worker, task)
-        there = 1 + sum(other is not task for _, other in self.present())
-        type(self).most = max(self.most, there)
-        if there > 2:
+        present = 1 + sum(other is not task for _, other in self.present())
+        type(self).most = max(self.most, present)
+        if present > 2:
             raise Broken("pool: more than two run")
 
 
-def _wired(monkeypatch: pytest.MonkeyPatch) -> list[_Two]:
-    """Every term gets the part by one line of wiring."""
-    parts: list[_Two] = []
-    plain = leading.Term.__init__
+def _add_component(monkeypatch: pytest.MonkeyPatch) -> list[_TestComponent]:
+    """Adds the component to every term and returns the list of instances."""
+    components: list[_TestComponent] = []
+    original = leading.Term.__init__
 
-    def with_part(self: leading.Term, *args: Any) -> None:
-        plain(self, *args)
-        parts.append(_Two())
-        self.add_component(parts[-1])
+    def with_component(self: leading.Term, *args: Any) -> None:
+        original(self, *args)
+        components.append(_TestComponent())
+        self.add_component(components[-1])
 
-    monkeypatch.setattr(leading.Term, "__init__", with_part)
-    return parts
+    monkeypatch.setattr(leading.Term, "__init__", with_component)
+    return components
 
 
-def test_a_part_brings_a_gate_a_value_and_figures(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Through troubles and leader changes its gate holds and its value lasts."""
-    parts = _wired(monkeypatch)
+def test_a_component_adds_a_constraint_a_value_and_metrics(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Through faults and leader changes its constraint holds and its persisted value lasts."""
+    components = _add_component(monkeypatch)
 
     def prepare(world: World) -> None:
-        plain = world.spec
-        world.spec = lambda number, **_: plain(  # type: ignore[method-assign]
+        original_spec = world.spec
+        world.spec = lambda number, **_: original_spec(  # type: ignore[method-assign]
             number, tasks=2, shape="batch", jobclass="small", expectedS=9.0
         )
 
-    world = play(9, seconds=60.0, jobs=8, prepare=prepare, kind=_TwoAtOnce)
+    world = play(9, seconds=60.0, jobs=8, prepare=prepare, kind=_TwoAtOnceWorld)
     assert all(job["over"] for job in world.jobs.values())
-    assert _TwoAtOnce.most == 2
-    assert len(parts) > 1  # several leaders
-    assert parts[-1].value["ended"] > 1000  # read from the record, and counted on
-    assert world.store.keys["cg/test/two"][0] == parts[-1].value
-    heard = {what for part in parts for what in part.heard}
+    assert _TwoAtOnceWorld.most == 2
+    assert len(components) > 1  # several leaders
+    assert components[-1].value["ended"] > 1000  # loaded from the record, then incremented
+    assert world.store.keys["cg/test/two"][0] == components[-1].value
+    heard = {what for component in components for what in component.heard}
     assert heard == {"start", "stop", "job", "report"}
 
 
-def test_a_gate_that_is_not_asked_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    _wired(monkeypatch)
+def test_a_constraint_that_is_not_notified_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without `on_placed` the pool's limit is exceeded within a round, which the check reports."""
+    _add_component(monkeypatch)
     monkeypatch.setattr(_Pool, "on_placed", StartConstraint.on_placed)
     with pytest.raises(Broken, match="pool"):
-        play(5, seconds=60.0, jobs=12, troubled=False, kind=_TwoAtOnce)
+        play(5, seconds=60.0, jobs=12, troubled=False, kind=_TwoAtOnceWorld)
 
 
-def test_work_that_pauses_starts_at_once_without_its_gate(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Faulty jobs are probed slowly by the gate alone."""
+def test_faulty_jobs_are_retried_at_once_without_their_constraint(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Only the backoff constraint slows the retries of a job whose tasks all fail."""
 
     def failures(paused: bool) -> int:
         ended = 0
@@ -167,27 +175,27 @@
             if not paused:
                 patch.setattr(gates.Pauses, "max_starts", StartConstraint.max_starts)
                 patch.setattr(gates.Pauses, "is_ready", lambda self, job: not job.aborted)
-            for seed in (6, 7):  # days on which the job meets several machines
+            for seed in (6, 7):  # with these seeds the job runs on several machines
                 tell(story, seed, loss=0.0)
         return ended
 
     assert 0 < failures(paused=True) * 3 < failures(paused=False)
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
-    """Imports for types count too: a circle of them is a circle to whoever reads."""
+def test_modules_have_no_import_cycles() -> None:
+    """Imports for type checking count too, since a cycle of them also couples the modules."""
     root = Path(chalkgrade.__file__).parent.parent
     names = {
         ".".join(path.relative_to(root).with_suffix("").parts): path for path in root.rglob("*.py")
     }
-    arrows: dict[str, set[str]] = {}
+    imports: dict[str, set[str]] = {}
     for name, path in names.items():
-        arrows[name] = taken = set()
+        imports[name] = imported = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module:
                 inner = {f"{node.module}.{alias.name}" for alias in node.names} & set(names)
-                taken |= inner or ({node.module} & set(names))
-    while arrows:  # take away what takes nothing any more, until a circle is left
-        free = {name for name, taken in arrows.items() if not taken & set(arrows)}
-        assert free, f"a circle among {sorted(arrows)}"
-        arrows = {name: taken for name, taken in arrows.items() if name not in free}
+                imported |= inner or ({node.module} & set(names))
+    while imports:  # remove modules without imports until only cycles are left
+        free = {name for name, imported in imports.items() if not imported & set(imports)}
+        assert free, f"a circle among {sorted(imports)}"
+        imports = {name: imported for name, imported in imports.items() if name not in free}
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -1,6 +1,7 @@
-"""One-task jobs, four a second, a quarter of them cancelled: nothing grows, ends are told soon.
+"""Many one-task jobs: four a second, a quarter of them cancelled.
 
-Ten minutes of it are `run.py experiment small_jobs`; these are days of a minute.
+Guards against state that grows with the number of ended jobs and against ends that become durable
+late. Each day here lasts a minute; `run.py experiment small_jobs` runs ten minutes.
 """
 
 from typing import Any
@@ -19,8 +20,8 @@
 from chalkgrade.region.loop import HandClock
 
 Patch = pytest.MonkeyPatch
-# How long half of the ends may take at most until they are durable; s. Together, 12 s without a
-# leader or state service leave some 50 ends to a budget that has one a second to spare.
+# Upper bound of the median time until an end is durable, s. In the combined case 12 s without a
+# leader or state service leave about 50 ends, and the request budget has one a second to spare.
 HALF_S = {
     "calm": 0.2,
     "leader": 0.5,
@@ -33,7 +34,7 @@
 
 
 def _day(trouble: str, seed: int = 1) -> dict[str, Any]:
-    """A day's figures; the meeting came about, and what every day must keep holds."""
+    """Runs a day, checks what must hold on every day, and returns its figures."""
     found = small_jobs.play(seed, 60.0, trouble)
     assert not found["broken"], found["broken"]
     assert found["jobs"] == 240 and found["withdrawn"] >= 0.15 * found["jobs"]
@@ -47,7 +48,8 @@
 
 
 @pytest.mark.parametrize("trouble", small_jobs.TROUBLES)
-def test_small_jobs_end_soon_and_leave_nothing_but_their_ends(trouble: str) -> None:
+def test_small_jobs_end_soon_and_leave_only_their_ends(trouble: str) -> None:
+    """Under each fault, the number of stored keys stays small and ends become durable in time."""
     found = _day(trouble)
     assert (found["leaders"] > 1) == (trouble in ("leader", "together"))
     if trouble == "calm":
@@ -55,14 +57,18 @@
 
 
 def _log_is_kept(patch: Patch) -> None:
+    """The operation log never drops pages."""
     patch.setattr(OpLog, "forget", lambda self, pages: None)
 
 
-def _overs_are_kept(patch: Patch) -> None:
+def _ended_jobs_are_kept(patch: Patch) -> None:
+    """The table of ended jobs has no bound."""
     patch.setattr(Latest, "__setitem__", dict.__setitem__)
 
 
-def _ends_take_what_is_at_hand(patch: Patch) -> None:
+def _ends_are_not_batched(patch: Patch) -> None:
+    """Commits are not batched when the request budget is low."""
+
     async def nothing(self: Writer) -> None:
         pass
 
@@ -72,37 +78,39 @@
 
 @pytest.mark.parametrize(
     ("bug", "trouble"),
-    [(_log_is_kept, "calm"), (_overs_are_kept, "calm"), (_ends_take_what_is_at_hand, "budget")],
+    [(_log_is_kept, "calm"), (_ended_jobs_are_kept, "calm"), (_ends_are_not_batched, "budget")],
 )
 def test_bugs_of_small_jobs_are_found(bug: Any, trouble: str, monkeypatch: Patch) -> None:
+    """Each of these faults in the program must make a day fail."""
     bug(monkeypatch)
     with pytest.raises(AssertionError):
         _day(trouble)
-        _bounded(monkeypatch)
+        _run_with_small_caches(monkeypatch)
 
 
-def _bounded(patch: Patch) -> None:
-    """Few of those that are over are known: the record knows the others."""
+def _run_with_small_caches(patch: Patch) -> None:
+    """Runs a day with room for 30 ended jobs in memory; others are known from the record only."""
     patch.setattr(constants, "OVER_KEPT", 30)
     patch.setattr(constants, "FINAL_CACHE", 30)
-    most: list[int] = []
-    plain = Over.__setitem__
+    sizes: list[int] = []
+    original = Over.__setitem__
 
     def note(self: Over, name: str, status: str) -> None:
-        plain(self, name, status)
-        most.append(len(self))
+        original(self, name, status)
+        sizes.append(len(self))
 
     patch.setattr(Over, "__setitem__", note)
     _day("calm")
-    assert len(most) > 100 and max(most) == 30
+    assert len(sizes) > 100 and max(sizes) == 30
 
 
-def test_who_forgets_which_jobs_are_over_answers_the_same(monkeypatch: Patch) -> None:
-    """Users ask and repeat submissions long after; nobody is told anything older."""
-    _bounded(monkeypatch)
+def test_answers_stay_the_same_when_ended_jobs_are_forgotten(monkeypatch: Patch) -> None:
+    """Users who ask or submit again long after the end never get an outdated answer."""
+    _run_with_small_caches(monkeypatch)
 
 
-def test_a_machine_knows_only_the_images_that_its_disk_holds() -> None:
+def test_a_machine_tracks_only_images_that_fit_its_disk() -> None:
+    """Otherwise the leader keeps an entry for each image that a machine ever held."""
     clock, flavor = HandClock(), Flavor("small", 4.0, 16.0, ["a"], localGb=8.0)
     machine = Machine("host-1", "small", "a", False, 0.0)
     for number in range(100):
