--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -37,11 +37,11 @@
     failed: dict[str, dict[str, int]] = {}  # machine -> job -> failures since its last success
 
 
-def gather_hints(domain: Domain, renter: Renter) -> Hints:
+def gather_hints(term_context: Domain, renter: Renter) -> Hints:
     """Collects the hints of the current term, with a bounded number of entries of each kind."""
-    clock, fleet, most = domain.office.clock, domain.fleet, constants.HINTS_EACH
+    clock, fleet, most = term_context.office.clock, term_context.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
-    out = Hints(domain.office.token, clock.wall())
+    out = Hints(term_context.office.token, clock.wall())
     out.ratios, out.never = renter.boots.told(shift)
     out.refused = [(pool, until + shift) for pool, until in renter.blocked.items() if until > now]
     machines = fleet.machines.values()
@@ -63,16 +63,16 @@
     return out
 
 
-def apply_hints(hints: Hints, domain: Domain, renter: Renter) -> None:
+def apply_hints(hints: Hints, term_context: Domain, renter: Renter) -> None:
     """Applies the previous leader's hints to a new term where they agree with the record."""
-    clock, fleet, jobs = domain.office.clock, domain.fleet, domain.book.jobs
+    clock, fleet, jobs = term_context.office.clock, term_context.fleet, term_context.book.jobs
     shift = clock.now() - clock.wall()
     renter.boots.hear(hints.ratios, hints.never, shift)
     latest = clock.now() + constants.REFUSED_S
     renter.blocked |= {pool: min(latest, until + shift) for pool, until in hints.refused}
-    for name, pool, born in hints.booting:
+    for name, pool, rented_at in hints.booting:
         machine = fleet.get_or_add(name, *pool)
-        machine.rented_this_term, machine.rented_at = True, born + shift
+        machine.rented_this_term, machine.rented_at = True, rented_at + shift
     for name, at in hints.silent.items():
         known = fleet.machines.get(name)
         if known is not None:
@@ -90,16 +90,18 @@
 class HintExchange:
     """One controller's hints: the last ones received, and the function that sends its own."""
 
-    def __init__(self, tell: Callable[[Hints], Awaitable[None]]) -> None:
-        self.publish = tell
+    def __init__(self, publish: Callable[[Hints], Awaitable[None]]) -> None:
+        self.publish = publish
         self.received: Hints | None = None
 
-    def receive(self, hints: Hints, leads: int) -> bool:
+    def receive(self, hints: Hints, highest_token: int) -> bool:
         """Stores hints of the current leader; False if they are older or of an earlier term.
 
-        `leads`: the highest token known to this controller.
+        `highest_token`: the highest token known to this controller.
         """
-        if hints.token < leads or (self.received is not None and hints.at <= self.received.at):
+        if hints.token < highest_token or (
+            self.received is not None and hints.at <= self.received.at
+        ):
             return False
         self.received = hints
         return True
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -18,18 +18,18 @@
 
     def __init__(
         self,
-        domain: Domain,
+        term_context: Domain,
         scheduling: RoundScheduler,
         on_report_accepted: Callable[[Machine, bool], None],
         on_attempt_ended: AttemptEndedCallback,
     ) -> None:
-        self.office = domain.office
-        self.leadership = domain.office.leadership
-        self.clock = domain.office.clock
-        self.book = domain.book
-        self.fleet = domain.fleet
-        self.flavors = domain.flavors
-        self.live = domain.live
+        self.context = term_context.office
+        self.leadership = term_context.office.leadership
+        self.clock = term_context.office.clock
+        self.registry = term_context.book
+        self.fleet = term_context.fleet
+        self.flavors = term_context.flavors
+        self.live = term_context.live
         self.scheduling = scheduling
         # Called with the machine of an accepted report and whether it was its first one.
         self.on_report_accepted = on_report_accepted
@@ -45,25 +45,25 @@
         lease is no longer proven. A report relayed by another controller is held for a
         shorter time, which must fit into the relay's own time limit.
         """
-        if report.baton > self.office.token:
+        if report.baton > self.context.token:
             self.leadership.heard(report.baton)
             return 421, {}
         received_at = self.clock.now()
         known = self.fleet.machines.get(report.host)
         first = known is None or known.reported_at is None
         machine = self.fleet.accept_report(report)
-        answer: dict[str, Any] = {"baton": self.office.token, "orders": []}
+        answer: dict[str, Any] = {"baton": self.context.token, "orders": []}
         if machine is None:
             return 200, answer
         self.on_report_accepted(machine, first)
-        if machine.name in self.book.images:
-            images.add_recorded_images(machine, self.book.images.pop(machine.name), self.clock)
+        if machine.name in self.registry.images:
+            images.add_recorded_images(machine, self.registry.images.pop(machine.name), self.clock)
         self._reconcile(machine)
         if self.live():
             await self._wait_for_decisions(
                 machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S
             )
-        if not self.leadership.sheltering() or self.leadership.token != self.office.token:
+        if not self.leadership.sheltering() or self.leadership.token != self.context.token:
             return 421, {}
         current = (machine.tenure, machine.seq) == (report.tenure, report.seq)
         machine.answered_at = self.clock.now()
@@ -96,7 +96,7 @@
                 await machine.work_assigned.wait(idle_s)
                 deadline = self.clock.now() + constants.ANSWER_HOLD_S
             while self.live() and not all(a.durable for a in machine.attempts.values()):
-                if not await self.book.committed.wait(deadline - self.clock.now()):
+                if not await self.registry.committed.wait(deadline - self.clock.now()):
                     return
         finally:
             machine.open_reports -= 1
@@ -108,7 +108,10 @@
             for key, entry in machine.tasks.items()
             if entry.status == "ended"
             and key not in machine.attempts
-            and (key not in self.book.log.ended or key[0].rpartition("/")[0] not in self.book.jobs)
+            and (
+                key not in self.registry.log.ended
+                or key[0].rpartition("/")[0] not in self.registry.jobs
+            )
         ]
 
     def _reconcile(self, machine: Machine) -> None:
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -24,21 +24,21 @@
 
     def __init__(
         self,
-        domain: Domain,
+        term_context: Domain,
         expire_leases: Callable[[], None],
         pools_without_capacity: Callable[[], Iterable[Pool]],
     ) -> None:
-        self.office = office = domain.office
-        self.clock = office.clock
-        self.book = domain.book
-        self.fleet = domain.fleet
-        self.queues = queues = domain.queues
-        self.flavors = domain.flavors
-        self.live = domain.live
+        self.context = context = term_context.office
+        self.clock = context.clock
+        self.registry = term_context.book
+        self.fleet = term_context.fleet
+        self.queues = queues = term_context.queues
+        self.flavors = term_context.flavors
+        self.live = term_context.live
         self.expire_leases = expire_leases  # ends attempts on machines whose lease is over
         self.pools_without_capacity = pools_without_capacity  # as recently refused by the cloud
         self.component_constraints: list[StartConstraint] = []  # of the term's components
-        self.teams = {team.name: team for team in office.settings.cluster.teams}
+        self.teams = {team.name: team for team in context.settings.cluster.teams}
         self.round_requested = asyncio.Event()
         self.round_finished = Signal()
         self.min_waiting_cpus = float("inf")  # CPUs of the smallest waiting task in the last round
@@ -72,7 +72,7 @@
 
     def samples(self) -> Iterable[Sample]:
         """Returns the metrics of jobs, machines and tasks."""
-        jobs = self.book.jobs.values()
+        jobs = self.registry.jobs.values()
         yield gauge("jobs", "Jobs that are not over", len(jobs))
         yield gauge("machines", "Machines known", len(self.fleet.machines))
         yield gauge("tasks_waiting", "Tasks without an attempt", sum(len(j.waiting) for j in jobs))
@@ -89,7 +89,7 @@
     async def _loop(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(self.office.settings.operator.round_s):
+                async with asyncio.timeout(self.context.settings.operator.round_s):
                     await self.round_requested.wait()
             except TimeoutError:
                 pass
@@ -101,11 +101,11 @@
             if self.live():
                 self.expire_leases()
                 self._run_round(began)
-                waiting = (j.spec.vcpus for j in self.book.jobs.values() if len(j.waiting))
+                waiting = (j.spec.vcpus for j in self.registry.jobs.values() if len(j.waiting))
                 # Every report reads this, so it is computed once per round rather than per report.
                 self.min_waiting_cpus = min(waiting, default=float("inf"))
-                if self.book.log.pending or any(kept.dirty for kept in self.persisted_values):
-                    self.book.flush_wanted.set()
+                if self.registry.log.pending or any(kept.dirty for kept in self.persisted_values):
+                    self.registry.flush_wanted.set()
             self.round_finished.fire()
             # After a long round the loop sleeps in proportion, to leave time for reports and users.
             took = self.clock.now() - began
@@ -117,7 +117,7 @@
         if preempt:
             self.preempted_at = now
         plan = Round(
-            self.book.jobs,
+            self.registry.jobs,
             self.fleet,
             self.teams,
             self.flavors,
@@ -145,7 +145,7 @@
     def standing(self) -> Standing:
         """Counts waiting tasks by job class and reason."""
         return standing(
-            self.book.jobs.values(),
+            self.registry.jobs.values(),
             self.fleet,
             self.teams,
             self.flavors,
@@ -167,7 +167,7 @@
             idle += serves and not machine.attempts
             for attempt in machine.attempts.values():
                 states[f"{attempt.job.spec.jobclass} {attempt.state or 'sent'}"] += 1
-        for job in self.book.jobs.values():
+        for job in self.registry.jobs.values():
             waiting[job.spec.jobclass] += len(job.waiting)
         log.info(
             "status: %d machines, %d usable, %d idle; attempts %s; waiting %s",
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -49,53 +49,59 @@
 
     def __init__(
         self,
-        office: Office,
+        context: Office,
         cloud: Cloud,
         flavors: dict[str, Flavor],
         remember: Callable[[str, str, int], object],
         http: Http,
         hint_exchange: HintExchange,
     ) -> None:
-        self.office = office
-        self.leadership = office.leadership
-        self.clock = office.clock
-        workers = office.settings.cluster.workers
-        self.fleet = Fleet(office.clock, office.token, workers.lease_s, workers.report_s)
-        self.queues = Queues(office.settings, office.clock, flavors, office.ledger.limits.value_b)
+        self.context = context
+        self.leadership = context.leadership
+        self.clock = context.clock
+        workers = context.settings.cluster.workers
+        self.fleet = Fleet(context.clock, context.token, workers.lease_s, workers.report_s)
+        self.queues = Queues(
+            context.settings, context.clock, flavors, context.ledger.limits.value_b
+        )
         self.components: list[Component] = []
-        self.book = Book(office, remember, self._on_job)
-        self.jobs = self.book.jobs
+        self.registry = Book(context, remember, self._on_job)
+        self.jobs = self.registry.jobs
         self.hint_exchange = hint_exchange
-        self.domain = domain = Domain(
-            office, self.book, self.fleet, self.queues, flavors, self.is_serving
+        self.term_context = term_context = Domain(
+            context, self.registry, self.fleet, self.queues, flavors, self.is_serving
         )
-        self.renter = Renter(domain, cloud, self._on_attempt_lost, self._max_demand)
+        self.renter = Renter(term_context, cloud, self._on_attempt_lost, self._max_demand)
         self.renter.coming = lambda: self.pipelines.graph.coming(
             self.queues.ends_in_s, constants.COMING_S
         )
-        self.scheduling = RoundScheduler(domain, self._expire_leases, self.renter.refused)
+        self.scheduling = RoundScheduler(term_context, self._expire_leases, self.renter.refused)
         self.reports = ReportHandler(
-            domain, self.scheduling, self._on_report_accepted, self._on_attempt_ended
+            term_context, self.scheduling, self._on_report_accepted, self._on_attempt_ended
         )
         self.ready = False
         self.record_loaded = Signal()  # fires once the record is read and reports are accepted
         self.tasks: list[asyncio.Task[None]] = []
         self.ended_by_cause: dict[str, int] = defaultdict(int)  # ended attempts by cause
         self.reported_cancelled: set[str] = set()  # names; see `apply_reported_cancellations`
-        self.writer = Writer(office, self.book)
-        self.pipelines = Pipelines(self.book, self._on_job, self.queues.dues, self.queues.takes_s)
+        self.writer = Writer(context, self.registry)
+        self.pipelines = Pipelines(
+            self.registry, self._on_job, self.queues.dues, self.queues.takes_s
+        )
         self.add_component(self.pipelines)
-        self.add_component(FailureTracker(office.token, office.clock))
+        self.add_component(FailureTracker(context.token, context.clock))
         self.add_component(self.scheduling)
         self.add_component(self.renter)
-        joint = Joint(domain, self.renter, self._max_demand, self._holds_scarce_resource, http)
-        for component in subsystems.create_components(office.settings, joint):
+        joint = Joint(
+            term_context, self.renter, self._max_demand, self._holds_scarce_resource, http
+        )
+        for component in subsystems.create_components(context.settings, joint):
             self.add_component(component)
 
     def add_component(self, component: Component) -> None:
         """Registers a component; must be called before the term starts."""
         self.components.append(component)
-        self.book.kept += component.persisted_values
+        self.registry.kept += component.persisted_values
         self.scheduling.component_constraints += component.start_constraints
 
     # -- life cycle ---------------------------------------------------------------
@@ -120,7 +126,7 @@
                 log.warning("loading the record failed, retrying: %s", error)
                 await asyncio.sleep(constants.STATE_PAUSE_S)
         writing = [self.writer.flush, *[self.writer.admit] * constants.ADMIT_LANES]
-        self._spawn([self.book.watch, self.writer.watch, *writing], True)
+        self._spawn([self.registry.watch, self.writer.watch, *writing], True)
         for component in self.components:
             self._spawn(component.durable_loops, True)
             self._spawn(component.decision_loops, False)
@@ -132,7 +138,7 @@
         while True:
             await asyncio.sleep(constants.HINTS_EVERY_S)
             if self.is_serving():
-                await self.hint_exchange.publish(gather_hints(self.domain, self.renter))
+                await self.hint_exchange.publish(gather_hints(self.term_context, self.renter))
 
     def _spawn(self, loops: Iterable[Loop], fatal: bool) -> None:
         self.tasks += [asyncio.create_task(self._supervise(loop, fatal)) for loop in loops]
@@ -165,18 +171,18 @@
 
     async def _load(self) -> None:
         self.fleet.machines.clear()
-        for attempt in await self.book.load():
+        for attempt in await self.registry.load():
             if attempt.job.aborted:
                 attempt.kill_at = self.clock.now()
             self.fleet.attach_attempt(attempt)
-        for hints in self.hint_exchange.usable_hints(self.office.token, self.clock.wall()):
-            apply_hints(hints, self.domain, self.renter)
+        for hints in self.hint_exchange.usable_hints(self.context.token, self.clock.wall()):
+            apply_hints(hints, self.term_context, self.renter)
         self.ready = True
         self.record_loaded.fire()
         live = sum(len(job.live) for job in self.jobs.values())
         log.info(
             "term started: token %d: %d jobs, %d live attempts",
-            self.office.token,
+            self.context.token,
             len(self.jobs),
             live,
         )
@@ -204,14 +210,14 @@
             if not self.pipelines.sure(job):
                 raise Unavailable  # it may be cancelled already
             return Account(job.status(), keys)
-        if name in self.book.admissions:
+        if name in self.registry.admissions:
             # Another node may have accepted the job as well, whichever commit it waits for here.
             keys.append(JOB_PREFIX + name)
         return Account(None, keys)
 
     def has_job(self, name: str) -> bool:
         """Returns whether the term has a record of the job, live or over."""
-        return name in self.jobs or name in self.book.over
+        return name in self.jobs or name in self.registry.over
 
     async def submit(self, spec: JobSpec) -> bool:
         """Accepts a job, committed in a batch with others; False if it is already known.
@@ -223,10 +229,10 @@
         value = JobValue(spec, self.clock.wall())
         if spec.waitsOn is not None:
             try:
-                value = await apart.keep(self.office.ledger, value)
+                value = await apart.keep(self.context.ledger, value)
             except Conflict:
                 return False  # the job is already over
-        return await self.book.admit(value, constants.PEER_TIMEOUT_S)
+        return await self.registry.admit(value, constants.PEER_TIMEOUT_S)
 
     async def abort(self, name: str) -> str | None:
         """Aborts a job and returns its final state, or None if the record does not have it.
@@ -238,22 +244,22 @@
         if not self.is_serving():
             raise Unavailable
         deadline = self.clock.now() + constants.INTAKE_DEADLINE_S
-        while name in self.book.admissions and name not in self.jobs:
+        while name in self.registry.admissions and name not in self.jobs:
             if (
-                not await self.book.committed.wait(deadline - self.clock.now())
+                not await self.registry.committed.wait(deadline - self.clock.now())
                 or not self.is_serving()
             ):
                 raise Unavailable
         job = self.jobs.get(name)
         if job is None:
-            return self.book.over.get(name)
-        self.book.abort(job)
+            return self.registry.over.get(name)
+        self.registry.abort(job)
         while self.is_serving():
             if job.aborted:
                 return "withdrawn"
-            if name in self.book.over:
+            if name in self.registry.over:
                 return "done"
-            if not await self.book.committed.wait(deadline - self.clock.now()):
+            if not await self.registry.committed.wait(deadline - self.clock.now()):
                 break
         raise Unavailable
 
@@ -292,7 +298,7 @@
         if cause:
             self.ended_by_cause[cause] += 1
         if log.isEnabledFor(logging.DEBUG):
-            what = about(self.office.token, attempt.job.name, attempt.machine, attempt.label)
+            what = about(self.context.token, attempt.job.name, attempt.machine, attempt.label)
             log.debug(
                 "attempt ended: %s on %s: %s",
                 attempt.label,
@@ -303,7 +309,7 @@
         attempt.job.finish(attempt, cause == "done", cause in FAILURE_CAUSES)
         if machine is not None:
             machine.detach(attempt)
-        self.book.progressed(attempt.job)
+        self.registry.progressed(attempt.job)
         for constraint in self.scheduling.component_constraints:
             constraint.on_released(attempt)
         for component in self.components:
@@ -321,7 +327,7 @@
                     "machine lease over: %s: %d attempts lost",
                     machine.name,
                     len(lost),
-                    extra=about(self.office.token, machine=machine.name),
+                    extra=about(self.context.token, machine=machine.name),
                 )
             for attempt in lost:
                 self._on_attempt_ended(machine, attempt, "")
--- a/src/chalkgrade/machines/flavors.py
+++ b/src/chalkgrade/machines/flavors.py
@@ -27,7 +27,7 @@
     bootS: float = 60.0
 
     @property
-    def room(self) -> tuple[float, float, float]:
+    def resources(self) -> tuple[float, float, float]:
         """The resources of an empty machine: CPUs, GPUs and memory in GB."""
         return self.vcpus, self.gpus, self.memoryGb
 
@@ -36,7 +36,7 @@
     """Returns how many tasks of a job fit on an empty machine of the type."""
     counts = [
         int((has + 1e-9) // needs)
-        for needs, has in zip(spec.room, flavor.room, strict=True)
+        for needs, has in zip(spec.room, flavor.resources, strict=True)
         if needs > 0
     ]
     return min(counts, default=64)
--- a/src/chalkgrade/machines/placement.py
+++ b/src/chalkgrade/machines/placement.py
@@ -23,12 +23,12 @@
     number: int
     owner: str
     rank: int
-    room: Vector
+    resources: Vector
     remaining_s: float  # s until it ends, or until it is saved if it is stopping
     loss_cpu_s: float  # work lost by stopping it now, CPU-seconds
     stopping: bool = False
     can_save: bool = False  # it saves a checkpoint when stopped
-    is_protected: bool = False  # more urgent work may not preempt it
+    is_starvation_guarded: bool = False  # more urgent work may not preempt it
 
 
 @dataclass
@@ -261,7 +261,7 @@
     if fits(spec.room, free):
         return 0.0
     for occupant in sorted(slot.occupants, key=lambda o: o.remaining_s):
-        free = plus(free, occupant.room)
+        free = plus(free, occupant.resources)
         if fits(spec.room, free):
             return occupant.remaining_s
     return float("inf")
@@ -335,7 +335,7 @@
     """Returns how many tasks of a job fit once the given tasks have stopped; at least one."""
     free = slot.free
     for occupant in stopped:
-        free = plus(free, occupant.room)
+        free = plus(free, occupant.resources)
     fit = (int((has + 1e-9) // need) for has, need in zip(free, spec.room, strict=True) if need > 0)
     return max(1, min(fit, default=1))
 
@@ -364,7 +364,7 @@
     free: Vector = (0.0, 0.0, max(0.0, slot.free[2])) if own else slot.free
     for occupant in slot.occupants:
         if occupant.stopping:
-            free = plus(free, occupant.room)
+            free = plus(free, occupant.resources)
     out: list[Occupant] = []
     for occupant in sorted(slot.occupants, key=lambda o: (o.rank, o.loss_cpu_s)):
         if fits(spec.room, free):
@@ -375,12 +375,12 @@
             continue
         over = (excess or {}).get(occupant.owner)
         borrowed = (
-            occupant.owner != spec.owner and over is not None and fits(occupant.room[:2], over)
+            occupant.owner != spec.owner and over is not None and fits(occupant.resources[:2], over)
         )
         if borrowed and excess is not None and over is not None:
-            excess[occupant.owner] = minus(over, occupant.room[:2])
-        lower = occupant.rank < spec.rank and not occupant.is_protected
+            excess[occupant.owner] = minus(over, occupant.resources[:2])
+        lower = occupant.rank < spec.rank and not occupant.is_starvation_guarded
         if borrowed or (lower and not borrowed_only):
-            free = plus(free, occupant.room)
+            free = plus(free, occupant.resources)
             out.append(occupant)
     return out if fits(spec.room, free) else None
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -150,8 +150,8 @@
 
     async def _refresh_flavors(self) -> None:
         flavors = await self.cloud.flavors()
-        shape = [(f.sku, f.room, f.sites) for f in flavors]
-        if shape != [(f.sku, f.room, f.sites) for f in self.flavors.values()] or (
+        shape = [(f.sku, f.resources, f.sites) for f in flavors]
+        if shape != [(f.sku, f.resources, f.sites) for f in self.flavors.values()] or (
             not self.types.stamp
         ):
             self.types.touch()
--- a/src/chalkgrade/serving/naming.py
+++ b/src/chalkgrade/serving/naming.py
@@ -43,9 +43,9 @@
         if term is not None and term.is_serving():
             jobs = term.jobs
             shapes: dict[str, str] = {name: jobs[name].spec.shape for name in names if name in jobs}
-            known = shapes.keys() | term.book.over.keys()
+            known = shapes.keys() | term.registry.over.keys()
             for name in names:
-                admission = term.book.admissions.get(name)
+                admission = term.registry.admissions.get(name)
                 if admission is None or name in known:
                     continue
                 if (await self.tell(name))[0] != 200:
--- a/src/chalkgrade/sharing/floor.py
+++ b/src/chalkgrade/sharing/floor.py
@@ -56,7 +56,7 @@
                 self.full.append(machine)
         self.queues.near = dict(self.known)
         for hosttype, count in counts.items():
-            capacity = plus(capacity, tuple(a * count for a in self.flavors[hosttype].room))
+            capacity = plus(capacity, tuple(a * count for a in self.flavors[hosttype].resources))
         peak = self.queues.peak_room
         self.queues.peak_room = tuple(max(a, b) for a, b in zip(peak, capacity, strict=True))
         return capacity
@@ -73,8 +73,8 @@
             machine.hosttype,
             machine.site,
             machine.standby,
-            minus(flavor.room, machine.used),
-            flavor.room,
+            minus(flavor.resources, machine.used),
+            flavor.resources,
             set(machine.images),
             flavor.pullGbPerS,
             machine.failures,
--- a/src/chalkgrade/sharing/stops.py
+++ b/src/chalkgrade/sharing/stops.py
@@ -31,7 +31,7 @@
     rows: dict[str, list[tuple[float, Vector]]] = defaultdict(list)
     for slot in slots:
         for mate in slot.occupants:
-            rows[mate.owner].append((mate.remaining_s, mate.room))
+            rows[mate.owner].append((mate.remaining_s, mate.resources))
     out: dict[str, tuple[list[float], list[Vector]]] = {}
     for owner, ends in rows.items():
         ends.sort()
@@ -227,7 +227,7 @@
         slots = self.floor.every()
         mates = (mate for slot in slots for mate in slot.occupants)
         # What was told to stop in earlier rounds is on its way.
-        coming = sum(mate.room[0] for mate in mates if mate.stopping)
+        coming = sum(mate.resources[0] for mate in mates if mate.stopping)
         most = max(1, int(constants.RETURN_PART * len(slots)))
         self.only = only
         for job, count in behind:
@@ -254,7 +254,7 @@
         for slot in self.floor.every():
             for occupant in slot.occupants:
                 if occupant.stopping and occupant.owner in out:
-                    left = minus(out[occupant.owner], occupant.room[:2])
+                    left = minus(out[occupant.owner], occupant.resources[:2])
                     out[occupant.owner] = (max(0.0, left[0]), max(0.0, left[1]))
         return out
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -242,7 +242,7 @@
     await _by_all(world, name, "pending")
     heir = world.known(world.job(2) | {"waitsOn": [name], "jobclass": "heirs"})
     term = lead.intake.term
-    assert term is not None and name in term.book.admissions
+    assert term is not None and name in term.registry.admissions
     answer = await world.submit(heir, first)
     assert answer is not None and answer[0] in (201, 503), answer  # known: never 422
     world.jobs[name]["asked"] = True
@@ -288,17 +288,17 @@
     await _until(world, 5.0, lambda: JOB_PREFIX + name in world.store.keys)
     term = lead.intake.term
     assert term is not None
-    await _until(world, 5.0, lambda: name in term.jobs and name in term.book.admissions)
+    await _until(world, 5.0, lambda: name in term.jobs and name in term.registry.admissions)
     world.jobs[name]["asked"] = True
     while world.jobs[name]["over"] is None:
         await world.abort(name, first)
         await asyncio.sleep(0.05)
-    assert name in term.book.admissions, "its batch is still unheard"
+    assert name in term.registry.admissions, "its batch is still unheard"
     for member in world.members:
         answer = await world.look(name, member)
         assert answer is not None and answer[1].get("status") == "withdrawn", answer
     world.holds = lambda op: False
-    while name in term.book.admissions:
+    while name in term.registry.admissions:
         world.spawn(world.submit(name, first))  # waits with it until its batch is heard of
         await asyncio.sleep(0.1)
     await asyncio.sleep(2.0)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -79,7 +79,7 @@
     def wanted(self: Book) -> Any:
         for change in plain(self):
             written = [write.key for write in change.writes]
-            if self is world.first.book and any(key.startswith(LOG_PREFIX) for key in written):
+            if self is world.first.registry and any(key.startswith(LOG_PREFIX) for key in written):
                 change.writes[0].value = b'"' + b"x" * 20_000 + b'"'  # type: ignore[assignment]
             yield change
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -171,7 +171,7 @@
         job = self.jobs.get(name)
         if job is None or not self.is_serving():
             return await plain(self, name)
-        self.book.abort(job)
+        self.registry.abort(job)
         return "withdrawn"
 
     patch.setattr(Term, "abort", abort)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -235,7 +235,7 @@
         assert holders
         machines = term.fleet.machines.items()
         known = {name for name, machine in machines if machine.images or machine.attempts}
-        assert holders <= known | set(term.book.images)
+        assert holders <= known | set(term.registry.images)
 
     tell(story, 2)
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -110,7 +110,7 @@
         leader = _leader(self)
         if leader is None or leader.intake.term is None:
             return "nobody leads"
-        book, keys = leader.intake.term.book, self.store.keys
+        book, keys = leader.intake.term.registry, self.store.keys
         batches = {key: row[1] for key, row in keys.items() if key.startswith(BATCH_PREFIX)}
         if batches != {key: batch.stamp for key, batch in book.batches.items()}:
             return f"batches {batches}"
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -107,7 +107,7 @@
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
         if job is not None and not job.complete:
-            self.book.abort(job)
+            self.registry.abort(job)
             return "withdrawn"
         return await plain(self, name)
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -320,7 +320,7 @@
         raw = msgspec.json.encode(spec)
         world.spawn(world.within(member, leader.handle("POST", "/v2/runs", raw)))
         other = parse_submission(msgspec.json.encode(_spec(world, 2)), 16 * 1024)
-        leader.term.book.add(JobValue(other, 0.0), 0, observe=True)  # it rents for this one
+        leader.term.registry.add(JobValue(other, 0.0), 0, observe=True)  # it rents for this one
         await asyncio.sleep(1.0)
         took, then = await _restarted(world, [member], 0.05)
         assert took < 0.5 and then.leadership.token > token
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -102,7 +102,7 @@
 
 
 def _occupant(guarded: bool, owner: str = "red") -> Occupant:
-    return Occupant("a/0", 1, owner, 1, (1.0, 0.0, 4.0), 9.0, 0.5, is_protected=guarded)
+    return Occupant("a/0", 1, owner, 1, (1.0, 0.0, 4.0), 9.0, 0.5, is_starvation_guarded=guarded)
 
 
 def _slot(occupant: Occupant) -> Slot:
@@ -177,7 +177,9 @@
     making = MakingRoom(floor, nothing, nothing, maxima, nothing, [], True)
     for within_s in [0.0, *(rng.uniform(0.0, 70.0) for _ in range(100))]:
         for owner in ("red", "blue", "green"):
-            ends = [o.room for o in occupants if o.owner == owner and o.remaining_s <= within_s]
+            ends = [
+                o.resources for o in occupants if o.owner == owner and o.remaining_s <= within_s
+            ]
             plain = tuple(sum(room[part] for room in ends) for part in range(3))
             assert making.resources_ending(owner, within_s) == pytest.approx(plain)
     assert floor.asked == 1
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -236,7 +236,7 @@
     async def story(world: World) -> None:
         leader, _ = _roles(world)
         assert leader.term is not None
-        book = leader.term.book
+        book = leader.term.registry
         for number in range(40):
             await _submit(world, leader, number, tasks=1, expectedS=500.0)
         last = book.jobs[f"run-{39:06d}"]
@@ -262,13 +262,13 @@
         job = await _submit(world, leader, 1, tasks=1, expectedS=3.0)
         value = {"spec": job, "at": 0.0, "aborted": False}
         assert leader.term is not None
-        add = leader.term.book.add
+        add = leader.term.registry.add
 
         def late(*args: Any, observe: bool, **more: Any) -> None:
             if not observe or "batch" in more:  # what the watch tells comes too late
                 add(*args, observe=observe, **more)
 
-        leader.term.book.add = late  # type: ignore[method-assign]
+        leader.term.registry.add = late  # type: ignore[method-assign]
         world.store._apply([{"write": f"cg/job/{job['nameId']}", "v": value}])
         token = leader.leadership.token
         fresh = world.spec(2, shape="batch", owner="blue", jobclass="small")
@@ -294,7 +294,7 @@
     async def story(world: World) -> None:
         leader, _ = _roles(world)
         assert leader.term is not None
-        token, book = leader.leadership.token, leader.term.book
+        token, book = leader.leadership.token, leader.term.registry
         for index in range(2000):
             book.log.add(Op("run-999999", index, 1, OVER))
         book.flush_wanted.set()
@@ -437,7 +437,7 @@
         await asyncio.sleep(15.0)
         heir, _ = _roles(world)
         assert heir.term is not None
-        assert len(heir.term.jobs) + len(heir.term.book.over) >= 301 - len(world.done)
+        assert len(heir.term.jobs) + len(heir.term.registry.over) >= 301 - len(world.done)
         job = heir.term.jobs[huge["nameId"]]
         assert len(job.waiting) + len(job.live) + job.done == 100_000
         before = world.started
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -240,7 +240,7 @@
         leaders = world.leaders()
         node = world.nodes[leaders[0]]
         assert node is not None and node.term is not None
-        token, book = node.leadership.token, node.term.book
+        token, book = node.leadership.token, node.term.registry
         for index in range(12_000):
             book.log.add(Op("run-999999", index, 1, OVER))
         book.flush_wanted.set()
