--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -29,7 +29,7 @@
         self.registry = term_context.book
         self.fleet = term_context.fleet
         self.flavors = term_context.flavors
-        self.live = term_context.live
+        self.is_serving = term_context.live
         self.scheduling = scheduling
         # Called with the machine of an accepted report and whether it was its first one.
         self.on_report_accepted = on_report_accepted
@@ -59,7 +59,7 @@
         if machine.name in self.registry.images:
             images.add_recorded_images(machine, self.registry.images.pop(machine.name), self.clock)
         self._reconcile(machine)
-        if self.live():
+        if self.is_serving():
             await self._wait_for_decisions(
                 machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S
             )
@@ -72,7 +72,7 @@
             machine,
             self._forgettable_attempts(machine),
             self.clock,
-            launches=current and self.live() and not useless,
+            launches=current and self.is_serving() and not useless,
         )
         if current:
             machine.response_tracker.on_response_sent(
@@ -95,7 +95,7 @@
             if not machine.attempts and not machine.tasks and self.fleet.usable(machine):
                 await machine.work_assigned.wait(idle_s)
                 deadline = self.clock.now() + constants.ANSWER_HOLD_S
-            while self.live() and not all(a.durable for a in machine.attempts.values()):
+            while self.is_serving() and not all(a.durable for a in machine.attempts.values()):
                 if not await self.registry.committed.wait(deadline - self.clock.now()):
                     return
         finally:
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -34,7 +34,7 @@
         self.fleet = term_context.fleet
         self.queues = queues = term_context.queues
         self.flavors = term_context.flavors
-        self.live = term_context.live
+        self.is_serving = term_context.live
         self.expire_leases = expire_leases  # ends attempts on machines whose lease is over
         self.pools_without_capacity = pools_without_capacity  # as recently refused by the cloud
         self.component_constraints: list[StartConstraint] = []  # of the term's components
@@ -95,10 +95,10 @@
                 pass
             self.round_requested.clear()
             began = self.clock.now()
-            if not self.live() and began - self.status_logged_at >= constants.TELL_EVERY_S:
+            if not self.is_serving() and began - self.status_logged_at >= constants.TELL_EVERY_S:
                 self.status_logged_at = began
                 log.warning("scheduling suspended: %s", line(self.standing()) or "no lease")
-            if self.live():
+            if self.is_serving():
                 self.expire_leases()
                 self._run_round(began)
                 waiting = (j.spec.vcpus for j in self.registry.jobs.values() if len(j.waiting))
@@ -151,7 +151,7 @@
             self.flavors,
             self.queues,
             self.pools_without_capacity(),
-            self.live(),
+            self.is_serving(),
             self.clock.now(),
             self.component_constraints,
         )
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -52,7 +52,7 @@
         context: Office,
         cloud: Cloud,
         flavors: dict[str, Flavor],
-        remember: Callable[[str, str, int], object],
+        remember_final_state: Callable[[str, str, int], object],
         http: Http,
         hint_exchange: HintExchange,
     ) -> None:
@@ -65,7 +65,7 @@
             context.settings, context.clock, flavors, context.ledger.limits.value_b
         )
         self.components: list[Component] = []
-        self.registry = Book(context, remember, self._on_job)
+        self.registry = Book(context, remember_final_state, self._on_job)
         self.jobs = self.registry.jobs
         self.hint_exchange = hint_exchange
         self.term_context = term_context = Domain(
