--- a/src/chalkgrade/leading/images.py
+++ b/src/chalkgrade/leading/images.py
@@ -8,7 +8,8 @@
 def add_recorded_images(machine: Machine, images: dict[str, float], clock: Clock) -> None:
     """Adds images of work that the record assigns to a machine (image -> GB).
 
-    Reports are newer than the record, so the machine's own entries take precedence.
+    The record is older than the reports, so these count as less recently used than the images
+    that the machine reported.
     """
     machine.image_gb |= images
     machine.images = {**dict.fromkeys(images, clock.now()), **machine.images}
