--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -219,7 +219,7 @@
                     fleet.machines[attempt.machine].detach(attempt)
                     faults.on_ended(fleet.machines[attempt.machine], attempt, "done")
         log.pending.clear()
-        log.ended.clear()
+        log.undurable_ends.clear()
     return took / (rounds - 2)
 
 
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -300,7 +300,7 @@
         made = job(number, tasks // machines)
         for index in range(14):
             attempt = made.place(index, name)
-            attempt.state, attempt.since = "running", clock.now()
+            attempt.state, attempt.running_since = "running", clock.now()
             fleet.hold(attempt)
     for number in range(large):
         job(900_000 + number, 1, urgency="high", vcpus=12.0, memoryGb=20.0, savepointS=0.0)
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -102,7 +102,7 @@
                 if until[attempt.name, attempt.number] <= step:
                     job.finish(attempt, True)
                     fleet.machines[attempt.machine].detach(attempt)
-            if job.complete:
+            if job.is_complete:
                 ends[int(name[4:])] = step
                 over[name] = "done"
                 del jobs[name]
@@ -121,9 +121,9 @@
                 if (attempt.name, attempt.number) not in until:
                     steps = case.stages[int(job.name[4:])].steps
                     until[attempt.name, attempt.number] = step + steps
-                    attempt.since = clock.now()
+                    attempt.running_since = clock.now()
         log.pending.clear()
-        log.ended.clear()
+        log.undurable_ends.clear()
         step += 1
         clock.at += STEP_S
     return outcome(case, ends)
@@ -144,7 +144,7 @@
     )  # fmt: skip
     job = jobs[made.nameId] = Job(JobValue(made, clock.wall() + number * 1e-3), 1, log)
     if waits:
-        job.hold()
+        job.block()
     else:
         queues.observe_submission(job)
     graph.enter(job, clock.wall())
--- a/src/chalkgrade/leading/faults.py
+++ b/src/chalkgrade/leading/faults.py
@@ -27,19 +27,21 @@
             machine.failed.clear()
         elif cause in FAILED:
             machine.failed_at = self._clock.now()
-            job.trials = 1
+            job.probe_limit = 1
             if cause == "error":
                 machine.failed[job] = machine.failed.get(job, 0) + 1
-            if job.faulty or cause == "unknown":
+            if job.is_faulty or cause == "unknown":
                 # Tasks that were under way fail at once, as one; probes fail one by one.
-                pause = constants.JOB_BACKOFF_S * 2 ** min(8, job.probes if not job.live else 0)
-                job.not_before = self._clock.now() + min(constants.JOB_BACKOFF_MAX_S, pause)
+                pause = constants.JOB_BACKOFF_S * 2 ** min(
+                    8, job.failed_probes if not job.live else 0
+                )
+                job.retry_at = self._clock.now() + min(constants.JOB_BACKOFF_MAX_S, pause)
             log.info(
                 "%s failed on %s: %s%s",
                 attempt.name,
                 machine.name,
                 cause,
-                ", the job is held for faulty" if job.faulty else "",
+                ", the job is held for faulty" if job.is_faulty else "",
                 extra=about(self._token, job.name, machine.name, attempt.label),
             )
         elif cause == "no_room":
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -47,8 +47,8 @@
         if machine is None:
             return 200, answer
         self.took_in(machine, first)
-        if machine.name in self.book.images:
-            images.hint(machine, self.book.images.pop(machine.name), self.clock)
+        if machine.name in self.book.image_hints:
+            images.hint(machine, self.book.image_hints.pop(machine.name), self.clock)
         self._reconcile(machine)
         if self.live():
             await self._hold(machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S)
@@ -82,7 +82,7 @@
             if not machine.attempts and not machine.tasks and self.fleet.usable(machine):
                 await machine.given.wait(idle_s)
                 deadline = self.clock.now() + constants.ANSWER_HOLD_S
-            while self.live() and not all(a.durable for a in machine.attempts.values()):
+            while self.live() and not all(a.is_durable for a in machine.attempts.values()):
                 if not await self.book.committed.wait(deadline - self.clock.now()):
                     return
         finally:
@@ -95,7 +95,10 @@
             for key, entry in machine.tasks.items()
             if entry.status == "ended"
             and key not in machine.attempts
-            and (key not in self.book.log.ended or key[0].rpartition("/")[0] not in self.book.jobs)
+            and (
+                key not in self.book.oplog.undurable_ends
+                or key[0].rpartition("/")[0] not in self.book.jobs
+            )
         ]
 
     def _reconcile(self, machine: Machine) -> None:
@@ -107,7 +110,7 @@
                 if not self.fleet.absent(machine, attempt):
                     continue
                 attempt.state = ""
-                stopped = attempt.kill_at is not None or attempt.job.aborted
+                stopped = attempt.kill_requested_at is not None or attempt.job.aborted
                 if stopped or machine.releasing or machine.warned or machine.hearing.deaf:
                     self.ended(machine, attempt, "")
                 continue
@@ -116,21 +119,24 @@
                     self.ended(machine, attempt, entry.cause or "unknown cause")
                 continue
             if entry.status == "running" and attempt.state != "running":
-                attempt.since = now
+                attempt.running_since = now
             attempt.state = entry.status
             spec = attempt.job.spec
-            if spec.shape == "service" and attempt.since:
+            if spec.shape == "service" and attempt.running_since:
                 # Else two sick machines in its life would leave it short of replicas for ever.
-                attempt.job.ran |= now - attempt.since > constants.PROVEN_RUN_S
-            elif attempt.job.faulty:
+                attempt.job.has_run_long |= now - attempt.running_since > constants.PROVEN_RUN_S
+            elif attempt.job.is_faulty:
                 # Two machines that were sick at once must not hold a sound job back for a run.
                 live = attempt.job.live.values()
-                ran = sum(bool(a.since) and now - a.since > constants.PROVEN_RUN_S for a in live)
-                attempt.job.trials = max(1, 2 * ran)
+                ran = sum(
+                    bool(a.running_since) and now - a.running_since > constants.PROVEN_RUN_S
+                    for a in live
+                )
+                attempt.job.probe_limit = max(1, 2 * ran)
             machine.image_gb[spec.bundle] = spec.pullGb
             if entry.status != "fetching":
                 images.holds(machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock)
-            if machine.warned and attempt.kill_at is None and spec.savepointS > 0:
-                attempt.kill_at = now  # save while the machine lasts
+            if machine.warned and attempt.kill_requested_at is None and spec.savepointS > 0:
+                attempt.kill_requested_at = now  # save while the machine lasts
         if machine.attempts:
             machine.busy_at = now
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -53,7 +53,7 @@
         self.wanted.set()
 
     def on_job(self, job: Job, fresh: bool) -> None:
-        if job.held:
+        if job.is_blocked:
             return  # it comes again once it may run
         if fresh:
             self.queues.observe_submission(job)
@@ -62,8 +62,8 @@
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
         # Of what an earlier leader started we have not seen the beginning: it would pass for short.
-        if cause == "done" and attempt.since and attempt.decided:
-            self.queues.observe_run(attempt.job, self.clock.now() - attempt.since)
+        if cause == "done" and attempt.running_since and attempt.placed_at:
+            self.queues.observe_run(attempt.job, self.clock.now() - attempt.running_since)
         self.wanted.set()
 
     def samples(self) -> Iterable[Sample]:
@@ -99,7 +99,7 @@
                 waiting = (j.spec.vcpus for j in self.book.jobs.values() if len(j.waiting))
                 # Each report asks for it: once a round, not once a report and job.
                 self.least_waiting = min(waiting, default=float("inf"))
-                if self.book.log.pending or any(kept.dirty for kept in self.kept):
+                if self.book.oplog.pending or any(kept.is_dirty for kept in self.kept):
                     self.book.flush_wanted.set()
             self.done.fire()
             # Rounds that take long must leave time for reports and users.
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -22,10 +22,10 @@
 from chalkgrade.machines.kinds import Flavor
 from chalkgrade.outside import Http, NoAnswer, Signal
 from chalkgrade.pipelines.part import Pipelines
-from chalkgrade.record import apart
-from chalkgrade.record.book import Book
-from chalkgrade.record.fates import Account
+from chalkgrade.record import dependency_lists
+from chalkgrade.record.in_flight import JobStatusReport
 from chalkgrade.record.jobs import JOB_PREFIX, Attempt, Job, JobSpec, JobValue
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.record.writer import Writer
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.renting.joint import Joint
@@ -63,7 +63,7 @@
         self.fleet = Fleet(office.clock, office.token, workers.lease_s, workers.report_s)
         self.queues = Queues(office.settings, office.clock, flavors, office.ledger.limits.value_b)
         self.parts: list[Part] = []
-        self.book = Book(office, remember, self._job_came)
+        self.book = JobRegistry(office, remember, self._job_came)
         self.jobs = self.book.jobs
         self.succession = succession
         self.domain = domain = Domain(
@@ -93,7 +93,7 @@
     def add(self, part: Part) -> None:
         """Wire a subsystem in, before the term starts."""
         self.parts.append(part)
-        self.book.kept += part.kept
+        self.book.persisted_values += part.kept
         self.scheduling.outer += part.gates
 
     # -- life ---------------------------------------------------------------------
@@ -115,8 +115,8 @@
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
                 log.warning("loading the book: %s", error)
                 await asyncio.sleep(constants.STATE_PAUSE_S)
-        writing = [self.writer.flush, *[self.writer.admit] * constants.ADMIT_LANES]
-        self._spawn([self.book.watch, self.writer.watch, *writing], True)
+        writing = [self.writer.run_main_lane, *[self.writer.run_admissions] * constants.ADMIT_LANES]
+        self._spawn([self.book.watch_submissions, self.writer.wait_for_stall, *writing], True)
         for part in self.parts:
             self._spawn(part.durable, True)
             self._spawn(part.loops, False)
@@ -162,7 +162,7 @@
         self.fleet.machines.clear()
         for attempt in await self.book.load():
             if attempt.job.aborted:
-                attempt.kill_at = self.clock.now()
+                attempt.kill_requested_at = self.clock.now()
             self.fleet.hold(attempt)
         for hints in self.succession.fresh(self.office.token, self.clock.wall()):
             apply(hints, self.domain, self.renter)
@@ -179,26 +179,26 @@
         """Whether this term may answer for the present."""
         return self.ready and self.leadership.acting()
 
-    def account(self, name: str) -> Account:
+    def account(self, name: str) -> JobStatusReport:
         """A job's present state, and the keys of open commits that may have changed it."""
         if not self.live():
             raise Unavailable
         job = self.jobs.get(name)
-        keys = self.writer.fates.of(name)
+        keys = self.writer.in_flight.keys_of(name)
         if job is not None and job.aborted:
-            return Account(job.status())  # nothing that is open makes it anything else
+            return JobStatusReport(job.status())  # nothing that is open makes it anything else
         if job is not None:
             if not self.pipelines.sure(job):
                 raise Unavailable  # as may be that it is cancelled
-            return Account(job.status(), keys)
+            return JobStatusReport(job.status(), keys)
         if name in self.book.admissions:
             # Whatever commit of ours it waits for, another node may have accepted it too.
             keys.append(JOB_PREFIX + name)
-        return Account(None, keys)
+        return JobStatusReport(None, keys)
 
     def knows(self, name: str) -> bool:
         """Whether a job is on record under this token."""
-        return name in self.jobs or name in self.book.over
+        return name in self.jobs or name in self.book.recent_ends
 
     async def submit(self, spec: JobSpec) -> bool:
         """Accept a job together with others; False when it is known already."""
@@ -207,7 +207,7 @@
         value = JobValue(spec, self.clock.wall())
         if spec.waitsOn is not None:
             try:
-                value = await apart.keep(self.office.ledger, value)
+                value = await dependency_lists.store_if_too_long(self.office.ledger, value)
             except Conflict:
                 return False  # it is over
         return await self.book.admit(value, constants.PEER_TIMEOUT_S)
@@ -225,12 +225,12 @@
                 raise Unavailable
         job = self.jobs.get(name)
         if job is None:
-            return self.book.over.get(name)
+            return self.book.recent_ends.get(name)
         self.book.abort(job)
         while self.live():
             if job.aborted:
                 return "withdrawn"
-            if name in self.book.over:
+            if name in self.book.recent_ends:
                 return "done"
             if not await self.book.committed.wait(deadline - self.clock.now()):
                 break
@@ -239,15 +239,15 @@
     def believe(self, told: set[str]) -> None:
         """Stop what others have told users is cancelled."""
         for job in filter(None, map(self.jobs.get, told - self.believed)):
-            job.told = True
+            job.reported_cancelled = True
             for attempt in job.live.values():
-                attempt.kill_at = attempt.kill_at or self.clock.now()
+                attempt.kill_requested_at = attempt.kill_requested_at or self.clock.now()
         self.believed |= told
 
     def doubt(self) -> None:
         """The record is ours again: only what it says is cancelled is so."""
         for job in filter(None, map(self.jobs.get, self.believed)):
-            job.told = False
+            job.reported_cancelled = False
         self.believed.clear()
 
     # -- workers and what becomes of attempts ---------------------------------------
@@ -274,7 +274,7 @@
         attempt.job.finish(attempt, cause == "done", cause in FAILED)
         if machine is not None:
             machine.detach(attempt)
-        self.book.progressed(attempt.job)
+        self.book.update_ending(attempt.job)
         for gate in self.scheduling.outer:
             gate.gave(attempt)
         for part in self.parts:
@@ -286,7 +286,7 @@
             if not machine.attempts or not self.fleet.lapsed(machine):
                 continue
             every = self.fleet.expired(machine)
-            lost = [a for a in machine.attempts.values() if every or a.decided]
+            lost = [a for a in machine.attempts.values() if every or a.placed_at]
             if lost:
                 log.info(
                     "%s: lease surely over, %d attempts lost",
@@ -313,6 +313,6 @@
         """Figures for /metrics."""
         for part in self.parts:
             yield from part.samples()
-        unwritable = len(self.writer.unwritable)
+        unwritable = len(self.writer.unwritable_sizes)
         yield gauge("unwritable_values", "Values over the state service's limit", unwritable)
         yield by_label("attempts", "Ended attempts by cause", "cause", self.counts)
--- a/src/chalkgrade/licences/seats.py
+++ b/src/chalkgrade/licences/seats.py
@@ -75,13 +75,13 @@
             if not needs:
                 continue
             self._mine[job] = needs
-            startable = 0 if job.aborted or job.aborting else job.startable
+            startable = 0 if job.aborted or job.aborting else job.startable_count
             for pool, seats in needs:
                 if job.live:
                     self.used[pool] += seats * len(job.live)
                     self._holders[pool].append(job)
                 self.waiting[pool] += seats * startable
-            if startable and now >= job.not_before:
+            if startable and now >= job.retry_at:
                 asking.append(job)
         self.free = {pool: self.usable(pool).seats - used for pool, used in self.used.items()}
         self._allot(asking)
@@ -100,8 +100,8 @@
             for job in holders:
                 shares[job.spec.owner, pool] += dict(self._mine[job])[pool] * len(job.live)
         self._allotted = {}
-        asking.sort(key=lambda job: (-job.spec.rank, job.open_at, job.name))
-        for _, group in itertools.groupby(asking, key=lambda job: job.spec.rank):
+        asking.sort(key=lambda job: (-job.spec.urgency_rank, job.eligible_at, job.name))
+        for _, group in itertools.groupby(asking, key=lambda job: job.spec.urgency_rank):
             mates = list(group)
             for job in sorted(self._starving(mates), key=lambda job: self._denied[job]):
                 self._first_of_all(job, left, shares)
@@ -162,7 +162,7 @@
             return max(shares[team, pool] / self.needs.pools[pool].seats for pool, _ in needs)
 
         order = [
-            (share(*key), line[0].at, number, key, iter(line), line[0])
+            (share(*key), line[0].accepted_at, number, key, iter(line), line[0])
             for number, (key, line) in enumerate(lines.items())
         ]
         heapq.heapify(order)
@@ -172,11 +172,13 @@
             if now > before:  # another line of the team got a seat meanwhile
                 heapq.heappush(order, (now, at, number, key, rest, job))
                 continue
-            if self._allotted.get(job, 0) >= job.startable:
+            if self._allotted.get(job, 0) >= job.startable_count:
                 following = next(rest, None)
                 following = next(rest, None) if following is job else following
                 if following is not None:
-                    heapq.heappush(order, (now, following.at, number, key, rest, following))
+                    heapq.heappush(
+                        order, (now, following.accepted_at, number, key, rest, following)
+                    )
                 continue
             if any(left[pool] < seats * key[2] for pool, seats in key[1]):
                 continue  # nobody behind it in this line fares better
@@ -198,7 +200,8 @@
         return any(
             self.free[pool] < seats
             and any(
-                other.spec.rank < spec.rank or (promised and other.spec.owner != spec.owner)
+                other.spec.urgency_rank < spec.urgency_rank
+                or (promised and other.spec.owner != spec.owner)
                 for other in self._holders[pool]
             )
             for pool, seats in self._mine[job]
@@ -263,7 +266,7 @@
         by themselves in time, or by earlier stops.
         """
         needs = self._mine.get(job)
-        waited = self.queues.clock.wall() - job.open_at
+        waited = self.queues.clock.wall() - job.eligible_at
         slack = self.queues.slack(job)
         if needs is None or not stops.preempt or slack < 0 or waited <= constants.PREEMPT_WAIT_S:
             return
@@ -280,12 +283,12 @@
             for holder in self._holders[pool]:
                 held = dict(self._mine[holder])[pool]
                 for attempt in holder.live.values():
-                    ends = attempt.kill_at is not None or attempt in chosen
+                    ends = attempt.kill_requested_at is not None or attempt in chosen
                     if ends or self.queues.left_s(attempt, self._now) <= late:
                         missing -= held
                     elif stops.may_stop(attempt, job):
                         loss = stops.loss(attempt)
-                        entry = (holder.spec.rank, loss, attempt.label, attempt, held)
+                        entry = (holder.spec.urgency_rank, loss, attempt.label, attempt, held)
                         offers.append(entry)
             offers.sort(key=lambda offer: offer[:3])
             for _, loss, _, attempt, held in offers:
@@ -300,16 +303,16 @@
         if chosen:
             stops.stop(list(chosen), job)
             for attempt in chosen:
-                self._stops[attempt] = (job, attempt.kill_at or self._now)
+                self._stops[attempt] = (job, attempt.kill_requested_at or self._now)
 
     def _take_back(self) -> None:
         """A stop that was not sent yet is taken back if the seat came free meanwhile."""
         for attempt, (job, at) in list(self._stops.items()):
-            if attempt.kill_sent or attempt.kill_at != at or attempt.job.aborted:
+            if attempt.kill_sent or attempt.kill_requested_at != at or attempt.job.aborted:
                 del self._stops[attempt]  # under way, or wanted for another reason
                 continue
             needs = self._mine.get(job, ())
-            tasks = min(job.startable, max(_unit(job), constants.SEAT_STOPS))
+            tasks = min(job.startable_count, max(_unit(job), constants.SEAT_STOPS))
             if all(self.free[pool] >= seats * tasks for pool, seats in needs):
-                attempt.kill_at = None
+                attempt.kill_requested_at = None
                 del self._stops[attempt]
--- a/src/chalkgrade/machines/fleet.py
+++ b/src/chalkgrade/machines/fleet.py
@@ -89,13 +89,13 @@
         """An attempt of the book may be here from now on."""
         self.attempts[attempt.name, attempt.number] = attempt
         self.given.fire()
-        self.used = plus(self.used, attempt.job.spec.room)
+        self.used = plus(self.used, attempt.job.spec.resources)
 
     def detach(self, attempt: Attempt) -> None:
         """An attempt is surely not here any more."""
         if self.attempts.pop((attempt.name, attempt.number), None) is not None:
             # An empty machine uses exactly nothing: sums of fractions would drift.
-            left = minus(self.used, attempt.job.spec.room)
+            left = minus(self.used, attempt.job.spec.resources)
             self.used = left if self.attempts else ZERO
 
     @property
@@ -110,7 +110,11 @@
         if not self.failed:
             return 0  # the usual case, asked of every machine in every round and plan
         return sum(
-            count if job.proven else 0 if len(job.failed_on) >= constants.FAULTY_MACHINES else 1
+            count
+            if job.has_succeeded
+            else 0
+            if len(job.failures_by_machine) >= constants.FAULTY_MACHINES
+            else 1
             for job, count in self.failed.items()
         )
 
@@ -187,7 +191,7 @@
         same number, into the next session, and a copy from the first may reach us before that
         session's own reports do. Of what we decided, older sessions know nothing.
         """
-        return cause == "done" or bool(attempt.decided) or self.current(machine)
+        return cause == "done" or bool(attempt.placed_at) or self.current(machine)
 
     def absent(self, machine: Machine, attempt: Attempt) -> bool:
         """Whether an attempt of the book is surely not on its machine.
@@ -202,9 +206,12 @@
         """
         if (attempt.name, attempt.number) in machine.tasks:
             return False
-        if not self.current(machine) and not attempt.decided:
+        if not self.current(machine) and not attempt.placed_at:
             return False
-        return attempt.sent is None or attempt.sent < (machine.tenure, machine.seq)
+        return attempt.launch_report is None or attempt.launch_report < (
+            machine.tenure,
+            machine.seq,
+        )
 
     def expired(self, machine: Machine) -> bool:
         """Whether a silent machine's lease has surely ended.
@@ -287,10 +294,10 @@
         elif attempt is None:
             # Nobody planned it here (any more): a late command, or a job that is over.
             out.append({"order": "kill", "task": task, "try": number, "graceS": 0})
-        elif attempt.kill_at is not None:
+        elif attempt.kill_requested_at is not None:
             spec = attempt.job.spec
             saves = spec.savepointS > 0 and not attempt.job.cancelled
-            late = clock.now() - attempt.kill_at > constants.KILL_GRACE_S + spec.flushS
+            late = clock.now() - attempt.kill_requested_at > constants.KILL_GRACE_S + spec.flushS
             if entry.status == "saving" and saves and not late:
                 continue
             grace = constants.KILL_GRACE_S + spec.flushS if saves and not late else 0
@@ -298,11 +305,11 @@
             out.append({"order": "kill", "task": task, "try": number, "graceS": grace})
     if launches:
         for (task, number), attempt in machine.attempts.items():
-            if (task, number) in machine.tasks or attempt.kill_at is not None:
+            if (task, number) in machine.tasks or attempt.kill_requested_at is not None:
                 continue
-            if attempt.job.cancelled or not attempt.durable:
+            if attempt.job.cancelled or not attempt.is_durable:
                 continue
-            attempt.sent = (machine.tenure, machine.seq)
+            attempt.launch_report = (machine.tenure, machine.seq)
             machine.hearing.launched.add((task, number))
             out.append({"order": "launch", "task": task, "try": number})
     return out
--- a/src/chalkgrade/machines/kinds.py
+++ b/src/chalkgrade/machines/kinds.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import JobSpec
 
 Pool = tuple[str, str, bool]  # type, zone, spot
@@ -30,7 +30,7 @@
     """How many tasks of that shape fit an empty machine."""
     counts = [
         int((has + 1e-9) // needs)
-        for needs, has in zip(spec.room, flavor.room, strict=True)
+        for needs, has in zip(spec.resources, flavor.room, strict=True)
         if needs > 0
     ]
     return min(counts, default=64)
@@ -45,7 +45,7 @@
     hosttypes: list[Flavor]
 
 
-def kept_flavors(flavors: dict[str, Flavor]) -> Kept:
+def kept_flavors(flavors: dict[str, Flavor]) -> PersistedValue:
     """The machine types as a value that outlives the leader; what is known already stays."""
 
     def load(raw: bytes) -> None:
@@ -53,4 +53,4 @@
             known = msgspec.json.decode(raw, type=FlavorsValue).hosttypes
             flavors.update({flavor.sku: flavor for flavor in known})
 
-    return Kept(FLAVORS_KEY, load, lambda: FlavorsValue(list(flavors.values())))
+    return PersistedValue(FLAVORS_KEY, load, lambda: FlavorsValue(list(flavors.values())))
--- a/src/chalkgrade/machines/placement.py
+++ b/src/chalkgrade/machines/placement.py
@@ -125,7 +125,7 @@
     for slot in slots:
         if slot.site not in zones or slot.name in shunned:
             continue
-        if not fits(spec.room, slot.free) or not opens(slot):
+        if not fits(spec.resources, slot.free) or not opens(slot):
             continue
         if crowded(spec, slot):
             continue
@@ -169,7 +169,7 @@
 
     def _open(self, slot: Slot) -> bool:
         spec = self._spec
-        if not fits(spec.room, slot.free) or crowded(spec, slot):
+        if not fits(spec.resources, slot.free) or crowded(spec, slot):
             return False
         return not (self._local and spec.pullGb and not slot.knows(spec.bundle))
 
@@ -240,7 +240,7 @@
 
 def occupy(slot: Slot, spec: JobSpec) -> None:
     """Take a task's room from a slot."""
-    slot.free = minus(slot.free, spec.room)
+    slot.free = minus(slot.free, spec.resources)
     slot.touched = True
     if spec.bundle not in slot.images:
         slot.fetching.add(spec.bundle)
@@ -249,11 +249,11 @@
 def wait_s(spec: JobSpec, slot: Slot) -> float:
     """Seconds until the slot has room for one task, if nothing else is placed there."""
     free = slot.free
-    if fits(spec.room, free):
+    if fits(spec.resources, free):
         return 0.0
     for occupant in sorted(slot.occupants, key=lambda o: o.left_s):
         free = plus(free, occupant.room)
-        if fits(spec.room, free):
+        if fits(spec.resources, free):
             return occupant.left_s
     return float("inf")
 
@@ -326,7 +326,11 @@
     free = slot.free
     for occupant in stopped:
         free = plus(free, occupant.room)
-    fit = (int((has + 1e-9) // need) for has, need in zip(free, spec.room, strict=True) if need > 0)
+    fit = (
+        int((has + 1e-9) // need)
+        for has, need in zip(free, spec.resources, strict=True)
+        if need > 0
+    )
     return max(1, min(fit, default=1))
 
 
@@ -358,7 +362,7 @@
             free = plus(free, occupant.room)
     out: list[Occupant] = []
     for occupant in sorted(slot.occupants, key=lambda o: (o.rank, o.lost)):
-        if fits(spec.room, free):
+        if fits(spec.resources, free):
             break
         if own and occupant.owner != spec.owner:
             continue
@@ -370,8 +374,8 @@
         )
         if borrowed and excess is not None and over is not None:
             excess[occupant.owner] = minus(over, occupant.room[:2])
-        lower = occupant.rank < spec.rank and not occupant.guarded
+        lower = occupant.rank < spec.urgency_rank and not occupant.guarded
         if borrowed or (lower and not borrowed_only):
             free = plus(free, occupant.room)
             out.append(occupant)
-    return out if fits(spec.room, free) else None
+    return out if fits(spec.resources, free) else None
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -21,7 +21,7 @@
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.outside import Bucket
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
@@ -78,9 +78,9 @@
         for plan in self._part.value.plans:
             job = book.get(plan.job)
             if job is not None:
-                self.kept.setdefault(plan.host, []).append((job.name, job.spec.room))
+                self.kept.setdefault(plan.host, []).append((job.name, job.spec.resources))
         for move in self._part.unsettled():
-            room = book[move.job].spec.room
+            room = book[move.job].spec.resources
             self.kept.setdefault(move.target, []).append((move.job, room))
 
     def left(self, job: Job, slot: Slot) -> Vector:
@@ -92,7 +92,7 @@
         return free
 
     def opens(self, job: Job, slot: Slot) -> bool:
-        return slot.name not in self.kept or fits(job.spec.room, self.left(job, slot))
+        return slot.name not in self.kept or fits(job.spec.resources, self.left(job, slot))
 
     def first(self) -> Iterable[tuple[Job, int, str]]:
         """Stopped tasks start at their targets before anything else is placed."""
@@ -126,7 +126,7 @@
         self.book = domain.book
         self.fleet = domain.fleet
         self.value = MovesValue()
-        self.record = Kept(MOVES_KEY, self._load, lambda: self.value)
+        self.record = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
         self.kept = [self.record]
         self.gate = MoveGate(self)
         self.gates = [self.gate]
@@ -167,7 +167,7 @@
             ):
                 self.moves[cause or "lost"] = self.moves.get(cause or "lost", 0) + 1
                 move.home_until = self.clock.wall() + constants.MOVE_HOME_S
-                self.record.touch()
+                self.record.mark_changed()
 
     async def run(self) -> None:
         while True:
@@ -176,7 +176,7 @@
                 self._advance()
                 if len(self.value.plans) < constants.MOVE_PLANS:
                     self._look()
-                if self.record.dirty:
+                if self.record.is_dirty:
                     self.book.flush_wanted.set()
 
     def _advance(self) -> None:
@@ -186,17 +186,17 @@
             outcome = self._outcome(plan, wall)
             if outcome:
                 self._close(plan, outcome)
-            elif not self.record.dirty:  # durable before anything is stopped for it
+            elif not self.record.is_dirty:  # durable before anything is stopped for it
                 for move in plan.moves:
                     attempt = self._at_source(move)
-                    if attempt is not None and attempt.kill_at is None:
-                        attempt.kill_at = self.clock.now()
+                    if attempt is not None and attempt.kill_requested_at is None:
+                        attempt.kill_requested_at = self.clock.now()
                         what = about(self.fleet.token, move.job, move.source, attempt.label)
                         log.info("moving %s to %s", attempt.label, move.target, extra=what)
         homes = [m for m in self.unsettled() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
-            self.record.touch()
+            self.record.mark_changed()
 
     def _at_source(self, move: MoveRecord) -> Attempt | None:
         job = self.book.jobs.get(move.job)
@@ -237,12 +237,12 @@
             attempt = self._at_source(move)
             if attempt is not None and not attempt.kill_sent:
                 if not (attempt.job.aborted or attempt.job.aborting):
-                    attempt.kill_at = None  # nobody told it to stop yet
+                    attempt.kill_requested_at = None  # nobody told it to stop yet
                 continue
             move.home_until = move.home_until or (until if attempt is None else 0.0)
             if attempt is None or attempt.kill_sent:
                 self.value.homes.append(move)
-        self.record.touch()
+        self.record.mark_changed()
 
     # -- looking for plans ---------------------------------------------------------------
 
@@ -262,7 +262,7 @@
         for job in jobs:
             # One search a look, and each shape of work now and then: a search costs more
             # than a round, and what found no plan finds none a moment later.
-            key = (job.spec.suits, job.spec.rank)
+            key = (job.spec.machine_constraints, job.spec.urgency_rank)
             if now - self.tried.get(key, -1e9) >= constants.MOVE_RETRY_S:
                 self.tried[key] = now
                 self._try(job, slots, jobs)
@@ -270,10 +270,10 @@
 
     def _waits(self, job: Job) -> bool:
         spec = job.spec
-        if job.aborted or job.aborting or job.faulty or not job.startable:
+        if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
         if (
-            self.clock.wall() - job.open_at < constants.MOVE_WAITED_S
+            self.clock.wall() - job.eligible_at < constants.MOVE_WAITED_S
             or spec.owner in self.settings.optout
         ):
             return False
@@ -285,7 +285,7 @@
         """Look for a plan for one task, or all of a gang, and adopt it if it gains."""
         spec = job.spec
         fitting = [s for s in slots if self._suits(job, s)]
-        if not fitting or any(fits(spec.room, slot.free) for slot in fitting):
+        if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
         teams = self.domain.office.settings.cluster.teams
@@ -294,14 +294,14 @@
         if not maxima.ready(job) or maxima.most(job, count) < count:
             return
         # Less urgent work takes what it finds; nothing is kept open for it.
-        mates = (j.spec for j in jobs if j.spec.rank >= spec.rank)
-        others = {mate.room for mate in mates if mate.room != spec.room}
+        mates = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
+        others = {mate.resources for mate in mates if mate.resources != spec.resources}
         pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
         # Only for a few hosts need be known who could leave them: those that lack least.
         hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
         names = {slot.name for slot in hosts}
         places = tuple(self._place(job, slot, slot.name in names) for slot in slots)
-        found = self.find(Problem(spec.room, pools, places, tuple(sorted(others))), count)
+        found = self.find(Problem(spec.resources, pools, places, tuple(sorted(others))), count)
         if not found:
             return
         took = max(self._takes_s(plan) for plan in found)
@@ -315,7 +315,7 @@
     def _suits(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
         pool = (slot.hosttype, slot.site, slot.standby)
-        return allowed(spec, *pool) and fits(spec.room, slot.total)
+        return allowed(spec, *pool) and fits(spec.resources, slot.total)
 
     def _rent_s(self, job: Job) -> float:
         """How long until a rented machine could start it; infinite where none is coming.
@@ -362,7 +362,7 @@
         moved = self.moved_at.get((attempt.job.name, attempt.index), -1e18)
         if (
             attempt.state != "running"
-            or attempt.kill_at is not None
+            or attempt.kill_requested_at is not None
             or attempt.job is job
             or attempt.job.aborted
             or attempt.job.aborting
@@ -374,7 +374,11 @@
             return False
         if spec.shape == "service":
             return True
-        return spec.shape == "batch" and spec.savepointS > 0 and spec.rank < job.spec.rank
+        return (
+            spec.shape == "batch"
+            and spec.savepointS > 0
+            and spec.urgency_rank < job.spec.urgency_rank
+        )
 
     def _resident(self, attempt: Attempt, machine: Machine) -> Resident:
         spec = attempt.job.spec
@@ -389,7 +393,7 @@
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
         return Resident(
-            name, attempt.number, spec.room, loss, spec.bundle, spec.pullGb, frozenset(pools)
+            name, attempt.number, spec.resources, loss, spec.bundle, spec.pullGb, frozenset(pools)
         )
 
     def _adopt(self, job: Job, plan: Plan, took: float, instead: float) -> None:
@@ -402,7 +406,7 @@
             self.moved_at[name, int(index)] = wall
         until = wall + constants.MOVE_PLAN_S
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
-        self.record.touch()
+        self.record.mark_changed()
         log.info(
             "plan for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
             job.name,
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -35,20 +35,20 @@
     def enter(self, job: Job, now: float) -> None:
         """A job is known; `now`: wall time. It may have named others, or been named."""
         self.unknown.pop(job.name, None)
-        if job.name in self.needs or not job.piped:
+        if job.name in self.needs or not job.in_pipeline:
             return
-        names = job.asked.waitsOn or []
+        names = job.submitted_spec.waitsOn or []
         for name in names:
             self.heirs.setdefault(name, {})[job.name] = None
-        if not job.held or job.aborted:
+        if not job.is_blocked or job.aborted:
             return
         if job.pages:
             # An attempt of it is on record: all that it waits for was durably done before.
-            job.release(job.at)
+            job.unblock(job.accepted_at)
             self.released(job)
             return
         self.needs[job.name] = set(names)
-        self._done_at[job.name] = job.at
+        self._done_at[job.name] = job.accepted_at
         for name in names:
             status = self.over.get(name)
             known = self.jobs.get(name)
@@ -69,7 +69,7 @@
 
     def left(self, job: Job) -> None:
         """A job is over and no more among `jobs`: nobody is needed by it any more."""
-        for before in job.asked.waitsOn or []:
+        for before in job.submitted_spec.waitsOn or []:
             self._disown(before, job.name)
 
     def aborted(self, job: Job) -> None:
@@ -86,7 +86,7 @@
                 del self.heirs[name]
                 job = self.jobs.get(name)
                 if job is not None:  # nobody needs it any more: what it was lent goes back
-                    job.spec, job.due_at = job.asked, None
+                    job.spec, job.due_times = job.submitted_spec, None
 
     def _heirs(self, name: str) -> list[Job]:
         found = (self.jobs.get(heir) for heir in list(self.heirs.get(name, ())))
@@ -103,7 +103,7 @@
         self._done_at[job.name] = max(self._done_at[job.name], at)
         if not needs:
             del self.needs[job.name]
-            job.release(self._done_at.pop(job.name))
+            job.unblock(self._done_at.pop(job.name))
             self.released(job)
 
     def _cancel(self, first: Job) -> None:
@@ -111,7 +111,7 @@
         stack = [first]
         while stack:
             job = stack.pop()
-            if not job.held or job.aborted:
+            if not job.is_blocked or job.aborted:
                 continue
             job.aborted = True
             self.needs.pop(job.name, None)
@@ -134,7 +134,7 @@
                     continue
                 if before.aborting:
                     return False
-                if before.held and name not in seen:
+                if before.is_blocked and name not in seen:
                     seen.add(name)
                     stack.append(before)
         return True
@@ -149,7 +149,7 @@
         for name, needs in self.needs.items():
             job = self.jobs.get(name)
             before = [self.jobs.get(need) for need in needs]
-            if job is None or not all(b is not None and not b.held for b in before):
+            if job is None or not all(b is not None and not b.is_blocked for b in before):
                 continue
             in_s = max((ends(b) for b in before if b is not None), default=0.0)
             if in_s <= within:
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -13,8 +13,8 @@
 from chalkgrade.outside import NoAnswer
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.slack import inherit
-from chalkgrade.record.book import Book
 from chalkgrade.record.jobs import END_PREFIX, EndValue, Job
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.seams.gates import Gate
 from chalkgrade.seams.parts import Part, Sample, by_label, gauge
 from chalkgrade.state.ledger import NotExecuted, Rejected
@@ -34,13 +34,13 @@
         self._part.rank()
 
     def ready(self, job: Job) -> bool:
-        return not job.held
+        return not job.is_blocked
 
     def able(self, job: Job, count: int) -> int:
-        return 0 if job.held else count
+        return 0 if job.is_blocked else count
 
     def why(self, job: Job) -> str:
-        return WAITS if job.held else ""
+        return WAITS if job.is_blocked else ""
 
 
 class Pipelines(Part):
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        book: Book,
+        book: JobRegistry,
         came: Callable[[Job, bool], None],
         dues: Callable[[Job], list[float]],
         takes: Callable[[Job], float],
@@ -59,7 +59,7 @@
         self.came = came
         self.dues = dues
         self.takes = takes
-        self.graph = Graph(book.jobs, book.over, self._released, self._cancelled)
+        self.graph = Graph(book.jobs, book.recent_ends, self._released, self._cancelled)
         self.gates = [_Ready(self)]
         self.loops = [self._look_up]
         self.started = False
@@ -67,8 +67,8 @@
         self.changed = False  # what jobs inherit is to be worked out anew
         self.wanted = asyncio.Event()  # something is to be looked up
         self.counts: Counter[str] = Counter()
-        book.on_over = self._over
-        book.on_aborted = self._aborted
+        book.on_job_ended = self._over
+        book.on_job_aborted = self._aborted
 
     # -- what happens -----------------------------------------------------------------
 
@@ -78,9 +78,9 @@
             self._enter(job)
 
     def on_job(self, job: Job, fresh: bool) -> None:
-        if fresh and job.held:
+        if fresh and job.is_blocked:
             self.fresh.add(job.name)
-            names = job.asked.waitsOn or []
+            names = job.submitted_spec.waitsOn or []
             shown = ", ".join(names[: constants.NAMES_SHOWN])
             more = f" and {len(names) - constants.NAMES_SHOWN} more"
             what = about(self.book.office.token, job.name)
@@ -91,7 +91,7 @@
 
     def _enter(self, job: Job) -> None:
         self.graph.enter(job, self.clock.wall())
-        self.changed = self.changed or job.piped
+        self.changed = self.changed or job.in_pipeline
         if self.graph.unknown:
             self.wanted.set()
 
@@ -101,8 +101,8 @@
         self.changed = True
         self.rank()
         text = "nobody with a deadline needs it"
-        if job.due_at:
-            left = job.due_at[0] - self.clock.wall() - self.takes(job)
+        if job.due_times:
+            left = job.due_times[0] - self.clock.wall() - self.takes(job)
             text = f"needed with {left:.0f} s of slack, as {job.spec.urgency}"
         log.info("job %s: all that it waited for is done; %s", job.name, text, extra=what)
         self.came(job, job.name in self.fresh)
@@ -114,7 +114,7 @@
         log.info("job %s: cancelled with a job before it", job.name, extra=what)
         self.changed = True
         self.fresh.discard(job.name)
-        self.book.progressed(job)
+        self.book.update_ending(job)
 
     def _over(self, job: Job, status: str) -> None:
         self.graph.left(job)
@@ -138,7 +138,7 @@
 
     def sure(self, job: Job) -> bool:
         """Whether a user may be told that a job that waits is not cancelled."""
-        return not job.held or job.aborted or self.graph.sure(job)
+        return not job.is_blocked or job.aborted or self.graph.sure(job)
 
     # -- jobs that ended before this term -----------------------------------------------
 
@@ -164,19 +164,19 @@
             row = await self.book.ledger.get(END_PREFIX + name)
             if row is not None:
                 end = msgspec.json.decode(row.v, type=EndValue)
-                self.book.remember(name, end.status, end.tasks)
+                self.book.remember_final_state(name, end.status, end.tasks)
                 self._settle(name, end.status, end.at)
         except (NoAnswer, NotExecuted, Rejected, msgspec.DecodeError) as error:
             log.debug("end of %s: %s", name, error)
 
     def samples(self) -> Iterable[Sample]:
         jobs = self.book.jobs.values()
-        held = Counter(job.spec.jobclass for job in jobs if job.held)
+        held = Counter(job.spec.jobclass for job in jobs if job.is_blocked)
         yield by_label("jobs_held", "Jobs that wait for others", "class", held, counter=False)
         text = "Named jobs whose end is being read"
         yield gauge("jobs_looked_up", text, len(self.graph.unknown))
         text = "Jobs let go, or cancelled with others"
         yield by_label("pipeline_jobs", text, "what", self.counts)
         now = self.clock.wall()
-        slack = min((job.due_at[0] - now for job in jobs if job.due_at), default=0.0)
+        slack = min((job.due_times[0] - now for job in jobs if job.due_times), default=0.0)
         yield gauge("pipeline_slack", "Least time left for a job that others need, s", slack)
--- a/src/chalkgrade/pipelines/slack.py
+++ b/src/chalkgrade/pipelines/slack.py
@@ -23,21 +23,21 @@
     nothing on, so that what was taken from it is given back.
     """
     for job in graph.related():
-        asked = job.asked
+        asked = job.submitted_spec
         spec = asked
         needed: list[float] | None = None
         for name in graph.heirs.get(job.name, ()):
             heir = graph.jobs.get(name)
             if heir is None or heir.aborted or heir.aborting:
                 continue
-            if heir.spec.rank > spec.rank:
+            if heir.spec.urgency_rank > spec.urgency_rank:
                 spec = msgspec.structs.replace(asked, urgency=heir.spec.urgency)
-            dues = own(heir) or heir.due_at
+            dues = own(heir) or heir.due_times
             if dues:
                 latest = sorted(due - takes(heir) for due in dues)
                 if needed is None or latest[0] < needed[0]:
                     needed = latest
         if job.spec.urgency != spec.urgency:
             job.spec = spec
-        job.due_at = needed
-        job.piped = job.piped or job.name in graph.heirs
+        job.due_times = needed
+        job.in_pipeline = job.in_pipeline or job.name in graph.heirs
--- a/src/chalkgrade/record/changes.py
+++ b/src/chalkgrade/record/changes.py
@@ -13,12 +13,12 @@
 from chalkgrade.record.jobs import Job, JobValue
 
 
-def raw(value: Any) -> msgspec.Raw:
+def encode_raw(value: Any) -> msgspec.Raw:
     """A value as it goes into a commit."""
     return msgspec.Raw(encode(value))
 
 
-class Over(Latest[str, str]):
+class RecentEnds(Latest[str, str]):
     """The latest jobs that ended under this token, and how.
 
     The others are known from the record: a commit that would make one again fails there.
@@ -28,7 +28,7 @@
         super().__init__(constants.OVER_KEPT)
 
 
-def together(jobs: Iterable[Job]) -> list[Job]:
+def group_by_batch(jobs: Iterable[Job]) -> list[Job]:
     """Those whose records are in one batch after each other, the first of all first.
 
     They share the batch's change, which else each commit of few ends would pay for each.
@@ -40,7 +40,7 @@
 
 
 @dataclass(eq=False)
-class Kept:
+class PersistedValue:
     """A subsystem's own small value that outlives the leader: one key, written whole.
 
     `touch` it when it has changed; it is written with the next commit that has room.
@@ -51,22 +51,22 @@
     dump: Callable[[], Any]
     stamp: int = 0  # its last known revision; 0: it was never written
     version: int = 0  # how often it has changed
-    durable: int = 0  # the version that is surely kept
-    told: int = 0  # the version that was said to be too long to be kept
+    durable_version: int = 0  # the version that is surely kept
+    warned_version: int = 0  # the version that was said to be too long to be kept
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         self.version += 1
 
     @property
-    def dirty(self) -> bool:
-        return self.version != self.durable
+    def is_dirty(self) -> bool:
+        return self.version != self.durable_version
 
-    def saved(self, version: int, revision: int) -> None:
-        self.stamp, self.durable = revision, version
+    def mark_saved(self, version: int, revision: int) -> None:
+        self.stamp, self.durable_version = revision, version
 
 
 @dataclass
-class Write:
+class KeyWrite:
     """One key's change within a commit."""
 
     key: str
@@ -84,16 +84,16 @@
 
     key: str
     stamp: int = 0
-    values: dict[str, bytes] = field(default_factory=dict)
+    records: dict[str, bytes] = field(default_factory=dict)
     size: int = 0
-    busy: bool = False  # a commit with it is under way: no other may touch it meanwhile
+    has_open_commit: bool = False  # a commit with it is under way: no other may touch it meanwhile
     # Jobs whose end is durable though their records are still here: it was too large to be
     # rewritten. Every reader of a batch that is larger than new ones asks for ends first.
-    dead: set[str] = field(default_factory=set)
+    ended_jobs: set[str] = field(default_factory=set)
 
-    def apply(self, edits: dict[str, bytes | None]) -> dict[str, bytes]:
+    def records_after(self, edits: dict[str, bytes | None]) -> dict[str, bytes]:
         """Its records after these changes."""
-        out = {name: value for name, value in self.values.items() if name not in self.dead}
+        out = {name: value for name, value in self.records.items() if name not in self.ended_jobs}
         for name, value in edits.items():
             if value is None:
                 out.pop(name, None)
@@ -101,31 +101,31 @@
                 out[name] = value
         return out
 
-    def write(self, edits: dict[str, bytes | None]) -> Write:
-        values = self.apply(edits)
+    def key_write(self, edits: dict[str, bytes | None]) -> KeyWrite:
+        values = self.records_after(edits)
         raw = msgspec.Raw(b'{"jobs":[' + b",".join(values.values()) + b"]}") if values else None
-        return Write(self.key, self.stamp, raw)
+        return KeyWrite(self.key, self.stamp, raw)
 
-    def after(self, edits: dict[str, bytes | None]) -> int:
+    def size_after(self, edits: dict[str, bytes | None]) -> int:
         """Bytes that it would take after these changes."""
-        return sum(len(value) + 1 for value in self.apply(edits).values())
+        return sum(len(value) + 1 for value in self.records_after(edits).values())
 
-    def saved(self, edits: dict[str, bytes | None], revision: int) -> None:
-        self.stamp, self.values = revision, self.apply(edits)
-        self.dead.clear()
-        self.size = sum(len(value) + 1 for value in self.values.values())
+    def mark_saved(self, edits: dict[str, bytes | None], revision: int) -> None:
+        self.stamp, self.records = revision, self.records_after(edits)
+        self.ended_jobs.clear()
+        self.size = sum(len(value) + 1 for value in self.records.values())
 
 
 @dataclass
-class Change:
+class RecordChange:
     """What is written together, and what to do once it is durable."""
 
-    done: Callable[[int], None]
-    writes: list[Write] = field(default_factory=list)
+    on_durable: Callable[[int], None]
+    writes: list[KeyWrite] = field(default_factory=list)
     batch: Batch | None = None  # a batch whose records change, and how
     edits: dict[str, bytes | None] = field(default_factory=dict)
-    absent: list[str] = field(default_factory=list)  # keys that must not be there
-    admits: list["Admission"] = field(default_factory=list)
+    absent_keys: list[str] = field(default_factory=list)  # keys that must not be there
+    admissions: list["Admission"] = field(default_factory=list)
 
 
 @dataclass(eq=False)
--- a/src/chalkgrade/record/conditions.py
+++ b/src/chalkgrade/record/commit_conditions.py
@@ -26,27 +26,27 @@
 from chalkgrade.membership.presence import MEMBERS_PREFIX
 from chalkgrade.record.jobs import (
     BATCH_PREFIX,
+    DEPENDENCIES_PREFIX,
     END_PREFIX,
     JOB_PREFIX,
-    NEED_PREFIX,
     TASK_PREFIX,
 )
 from chalkgrade.state.leadership import LEADER_KEY
 
 
-def _job_of(key: str) -> str:
+def _job_name_of(key: str) -> str:
     """The job that a page or a part of a list is of."""
-    for prefix in (TASK_PREFIX, NEED_PREFIX):
+    for prefix in (TASK_PREFIX, DEPENDENCIES_PREFIX):
         if key.startswith(prefix):
             return key.removeprefix(prefix).rpartition("/")[0]
     return key.removeprefix(JOB_PREFIX)
 
 
-def _names(value: Any) -> Iterable[str]:
+def _batch_job_names(value: Any) -> Iterable[str]:
     return (job["spec"]["nameId"] for job in value["jobs"])
 
 
-def lacking(
+def missing_conditions(
     conditions: Mapping[str, int], apply: Iterable[Mapping[str, Any]], held: Mapping[str, Any]
 ) -> list[str]:
     """What a commit should be conditioned on and is not.
@@ -59,10 +59,10 @@
         key = op.get("write") or op["remove"]
         own, needs = key in conditions, list[tuple[bool, str]]()
         made = "write" in op and conditions.get(key) == 0
-        unended = conditions.get(END_PREFIX + _job_of(key)) == 0
+        unended = conditions.get(END_PREFIX + _job_name_of(key)) == 0
         if key == LEADER_KEY or key.startswith(MEMBERS_PREFIX):
             needs = [(own, "own revision"), (op.get("permit") is not None, "a lease")]
-        elif key.startswith(NEED_PREFIX):
+        elif key.startswith(DEPENDENCIES_PREFIX):
             needs = [(unended if "write" in op else token, "the job's end or the token")]
         elif key.startswith(TASK_PREFIX) and "remove" in op:
             needs = [(token, "token")]
@@ -75,9 +75,9 @@
             elif key.startswith(TASK_PREFIX) and made:
                 needs.append((unended, "absence of the end"))
             elif key.startswith(BATCH_PREFIX) and "write" in op:
-                before = set(_names(held.get(key) or {"jobs": []}))
-                moved = {name for value in held.values() for name in _names(value)}
-                for name in set(_names(op["v"])) - before - moved:
+                before = set(_batch_job_names(held.get(key) or {"jobs": []}))
+                moved = {name for value in held.values() for name in _batch_job_names(value)}
+                for name in set(_batch_job_names(op["v"])) - before - moved:
                     guarded = all(conditions.get(p + name) == 0 for p in (JOB_PREFIX, END_PREFIX))
                     needs.append((guarded, f"absence of {name}"))
         out += [f"{key}: {what}" for good, what in needs if not good]
--- a/src/chalkgrade/record/apart.py
+++ b/src/chalkgrade/record/dependency_lists.py
@@ -12,34 +12,34 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import NoAnswer, encode
-from chalkgrade.record.jobs import END_PREFIX, NEED_PREFIX, JobValue, alone
+from chalkgrade.record.jobs import DEPENDENCIES_PREFIX, END_PREFIX, JobValue, without_dependencies
 from chalkgrade.state.ledger import Ledger
 
 
-def record(value: JobValue) -> bytes:
+def encode_record(value: JobValue) -> bytes:
     """A job's record as it is kept: without a list that is kept apart."""
     if value.apart is None:
         return encode(value)
-    return encode(JobValue(alone(value.spec), value.at, value.aborted, value.apart))
+    return encode(JobValue(without_dependencies(value.spec), value.at, value.aborted, value.apart))
 
 
-def keys(name: str, where: tuple[str, int] | None) -> list[str]:
+def part_keys(name: str, where: tuple[str, int] | None) -> list[str]:
     """Where a job's list is, if that is kept apart."""
     mark, count = where or ("", 0)
-    return [f"{NEED_PREFIX}{name}/{mark}-{number}" for number in range(count)]
+    return [f"{DEPENDENCIES_PREFIX}{name}/{mark}-{number}" for number in range(count)]
 
 
-async def names(ledger: Ledger, name: str, where: tuple[str, int]) -> list[str]:
+async def read_names(ledger: Ledger, name: str, where: tuple[str, int]) -> list[str]:
     """A list that is kept apart; NoAnswer where a part of it can't be read."""
     out: list[str] = []
-    for row in await asyncio.gather(*(ledger.get(key) for key in keys(name, where))):
+    for row in await asyncio.gather(*(ledger.get(key) for key in part_keys(name, where))):
         if row is None:
             raise NoAnswer("a part of a list is missing")
         out += msgspec.json.decode(row.v, type=list[str])
     return out
 
 
-async def keep(ledger: Ledger, value: JobValue) -> JobValue:
+async def store_if_too_long(ledger: Ledger, value: JobValue) -> JobValue:
     """Have the list kept apart if the record would be too long; may raise as a commit does.
 
     Conflict: the job is over. Without that condition a late copy would leave parts behind that
@@ -59,7 +59,7 @@
         size += len(name) + 3
     mark = f"{zlib.crc32(encode(named)):08x}"
     made = JobValue(value.spec, value.at, value.aborted, (mark, len(parts)))
-    where = keys(value.spec.nameId, made.apart)
+    where = part_keys(value.spec.nameId, made.apart)
     writes = [{"write": key, "v": part} for key, part in zip(where, parts, strict=True)]
     # A commit as a whole is bounded too: most values of the size allowed fit, not all.
     most = max(1, min(ledger.limits.txn_ops, constants.COMMIT_MAX_B // (2 * room)))
@@ -68,10 +68,10 @@
     return made
 
 
-async def whole(ledger: Ledger, value: JobValue) -> JobValue:
+async def with_dependencies(ledger: Ledger, value: JobValue) -> JobValue:
     """A record with its list; NoAnswer where a part can't be read."""
     if value.apart is None or value.spec.waitsOn is not None:
         return value
-    found = await names(ledger, value.spec.nameId, value.apart)
+    found = await read_names(ledger, value.spec.nameId, value.apart)
     spec = msgspec.structs.replace(value.spec, waitsOn=found)
     return JobValue(spec, value.at, value.aborted, value.apart)
--- a/src/chalkgrade/record/fates.py
+++ b/src/chalkgrade/record/in_flight.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-from chalkgrade.record.changes import Change
+from chalkgrade.record.changes import RecordChange
 from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX
 
 
-class Account(msgspec.Struct):
+class JobStatusReport(msgspec.Struct):
     """What the leader's book says of a job, and by which keys it may be out of date."""
 
     told: dict[str, Any] | None = None  # None: the book does not have it
     open: list[str] = []
 
 
-def shown(change: Change) -> Iterator[tuple[str, str]]:
+def affected_keys(change: RecordChange) -> Iterator[tuple[str, str]]:
     """Jobs of which a change alters what users are told, each with a key that shows it."""
     for write in change.writes:
         for prefix in (END_PREFIX, JOB_PREFIX):
@@ -34,27 +34,27 @@
                 yield name, change.batch.key
 
 
-class Fates:
+class InFlightCommits:
     """One term's open commits, by job."""
 
     def __init__(self) -> None:
-        self._open: dict[str, list[str]] = {}
+        self._keys_by_job: dict[str, list[str]] = {}
 
-    def begin(self, changes: Iterable[Change]) -> None:
+    def begin(self, changes: Iterable[RecordChange]) -> None:
         """They are about to be sent."""
         for change in changes:
-            for name, key in shown(change):
-                self._open.setdefault(name, []).append(key)
+            for name, key in affected_keys(change):
+                self._keys_by_job.setdefault(name, []).append(key)
 
-    def known(self, changes: Iterable[Change]) -> None:
+    def resolve(self, changes: Iterable[RecordChange]) -> None:
         """What became of them is known, and in memory."""
         for change in changes:
-            for name, key in shown(change):
-                keys = self._open.get(name, [])
+            for name, key in affected_keys(change):
+                keys = self._keys_by_job.get(name, [])
                 if key in keys:
                     keys.remove(key)
                 if not keys:
-                    self._open.pop(name, None)
+                    self._keys_by_job.pop(name, None)
 
-    def of(self, name: str) -> list[str]:
-        return list(self._open.get(name, ()))
+    def keys_of(self, name: str) -> list[str]:
+        return list(self._keys_by_job.get(name, ()))
--- a/src/chalkgrade/record/oplog.py
+++ b/src/chalkgrade/record/oplog.py
@@ -24,10 +24,12 @@
 
 LOG_PREFIX = "cg/log/"
 # What an attempt's end was: the task is done, or waits again, in the last case since it failed.
-DONE, OVER, FAILED = 1, 0, 2
+DONE, INTERRUPTED, FAILED = 1, 0, 2
 
 PageName = tuple[str, int]  # job, number of the page
-FRAME_B = len(b'{"e":[]}') - 1  # of a segment's value beside its entries and a comma after each
+SEGMENT_FRAME_B = (
+    len(b'{"e":[]}') - 1
+)  # of a segment's value beside its entries and a comma after each
 
 
 class Op(NamedTuple):
@@ -35,8 +37,8 @@
 
     job: str
     task: int
-    number: int
-    what: str | int
+    try_number: int
+    event: str | int
 
 
 class Entry(msgspec.Struct, array_like=True):
@@ -58,37 +60,39 @@
 
     key: str
     stamp: int = 0
-    refs: set[PageName] = field(default_factory=set)  # pages whose latest is only in the log
+    needed_pages: set[PageName] = field(
+        default_factory=set
+    )  # pages whose latest is only in the log
     entries: list[bytes] = field(default_factory=list)
     size: int = 0
 
 
 @dataclass
-class Piece:
+class SegmentAppend:
     """What one commit adds to one segment."""
 
     segment: Segment
-    fresh: bool  # the segment begins anew
+    overwrites: bool  # the segment begins anew
     entry: bytes
     lsn: int
-    refs: set[PageName]
+    page_names: set[PageName]
 
     @property
     def value(self) -> msgspec.Raw:
-        entries = [self.entry] if self.fresh else [*self.segment.entries, self.entry]
+        entries = [self.entry] if self.overwrites else [*self.segment.entries, self.entry]
         return msgspec.Raw(b'{"e":[' + b",".join(entries) + b"]}")
 
 
 @dataclass
-class Flush:
+class LogFlush:
     """What one commit adds to the log: where values are small, to several segments."""
 
-    pieces: list[Piece]
+    appends: list[SegmentAppend]
     count: int  # pending operations that it holds, the first ones
 
     @property
     def lsn(self) -> int:
-        return self.pieces[-1].lsn
+        return self.appends[-1].lsn
 
 
 class OpLog:
@@ -96,12 +100,16 @@
 
     def __init__(self, value_b: int) -> None:
         """`value_b`: bytes that a segment may take."""
-        self._limit = value_b
-        self._kept = max(constants.SEGMENTS_KEPT, constants.SEGMENTS_KEPT_B // max(1, value_b))
+        self._segment_max_b = value_b
+        self._segments_kept = max(
+            constants.SEGMENTS_KEPT, constants.SEGMENTS_KEPT_B // max(1, value_b)
+        )
         self.pending: deque[Op] = deque()
-        self.appended = 0  # operations so far; an operation's number is this after it
-        self.durable = 0  # operations that are surely kept
-        self.ended: dict[tuple[str, int], int] = {}  # (task, try) over, until that is durable
+        self.appended_count = 0  # operations so far; an operation's number is this after it
+        self.durable_count = 0  # operations that are surely kept
+        self.undurable_ends: dict[
+            tuple[str, int], int
+        ] = {}  # (task, try) over, until that is durable
         self.lsn = 0
         self.segments: dict[str, Segment] = {}  # in use, the oldest first
         self.free: list[Segment] = []
@@ -110,25 +118,25 @@
     def add(self, op: Op) -> int:
         """Append an operation; its number tells when it is durable."""
         self.pending.append(op)
-        self.appended += 1
-        if isinstance(op.what, int):
-            self.ended[f"{op.job}/{op.task}", op.number] = self.appended
-        return self.appended
+        self.appended_count += 1
+        if isinstance(op.event, int):
+            self.undurable_ends[f"{op.job}/{op.task}", op.try_number] = self.appended_count
+        return self.appended_count
 
-    def take(self, most: int = 1) -> Flush | None:
+    def next_flush(self, most: int = 1) -> LogFlush | None:
         """The next commit's part: as many pending operations as fit so many values."""
         if not self.pending:
             return None
         return self._flush(self.pending, most, self._current)
 
-    def carry(self, ops: Sequence[Op]) -> Flush:
+    def reappend(self, ops: Sequence[Op]) -> LogFlush:
         """Operations that are known already, once more: all of them, in segments of their own."""
         flush = self._flush(ops, len(ops), None)
-        return Flush(flush.pieces, 0)
+        return LogFlush(flush.appends, 0)
 
-    def _flush(self, ops: Sequence[Op], most: int, current: Segment | None) -> Flush:
+    def _flush(self, ops: Sequence[Op], most: int, current: Segment | None) -> LogFlush:
         """The first of these operations, laid into one entry a segment."""
-        pieces: list[Piece] = []
+        pieces: list[SegmentAppend] = []
         free, made = list(self.free), 0
         count, lsn = 0, self.lsn
         waiting = iter(ops)
@@ -138,12 +146,12 @@
             refs: set[PageName] = set()
             size = constants.CARRIED_BASE_B
             while op is not None:
-                cost = 10 + len(str(op.task)) + len(str(op.number)) + len(str(op.what))
+                cost = 10 + len(str(op.task)) + len(str(op.try_number)) + len(str(op.event))
                 if op.job not in grouped:
                     cost += len(op.job) + 8
-                if grouped and size + cost > self._limit:
+                if grouped and size + cost > self._segment_max_b:
                     break
-                grouped.setdefault(op.job, []).append((op.task, op.number, op.what))
+                grouped.setdefault(op.job, []).append((op.task, op.try_number, op.event))
                 refs.add((op.job, op.task // constants.PAGE_TASKS))
                 size, count = size + cost, count + 1
                 op = next(waiting, None)
@@ -152,7 +160,10 @@
             # Of the value as it is written: one that is longer by its frame alone is never
             # written, nor is anything after it (found on the bench, once in eight days with
             # late transactions: a backlog is cut to the same entry at every try).
-            fresh = current is None or FRAME_B + current.size + len(entry) + 1 > self._limit
+            fresh = (
+                current is None
+                or SEGMENT_FRAME_B + current.size + len(entry) + 1 > self._segment_max_b
+            )
             if fresh and free:
                 segment = free.pop()
             elif fresh:
@@ -161,55 +172,55 @@
                 assert current is not None
                 segment = current
             current = None
-            pieces.append(Piece(segment, fresh, entry, lsn, refs))
-        return Flush(pieces, count)
+            pieces.append(SegmentAppend(segment, fresh, entry, lsn, refs))
+        return LogFlush(pieces, count)
 
     def _new_key(self, more: int) -> str:
         return f"{LOG_PREFIX}{len(self.segments) + len(self.free) + more:06d}"
 
-    def saved(self, flush: Flush, revision: int) -> None:
+    def mark_saved(self, flush: LogFlush, revision: int) -> None:
         """A commit's part is durable."""
-        for piece in flush.pieces:
+        for piece in flush.appends:
             self._saved(piece, revision)
         for _ in range(flush.count):
             self.pending.popleft()
-        self.durable += flush.count
-        for key, number in list(self.ended.items()):
-            if number > self.durable:
+        self.durable_count += flush.count
+        for key, number in list(self.undurable_ends.items()):
+            if number > self.durable_count:
                 break
-            del self.ended[key]
+            del self.undurable_ends[key]
 
-    def _saved(self, piece: Piece, revision: int) -> None:
+    def _saved(self, piece: SegmentAppend, revision: int) -> None:
         segment = piece.segment
-        if piece.fresh:
+        if piece.overwrites:
             if self._current is not None:
                 self._current.entries.clear()
             if segment in self.free:
                 self.free.remove(segment)
-            segment.entries, segment.size, segment.refs = [], 0, set()
+            segment.entries, segment.size, segment.needed_pages = [], 0, set()
             self._current = self.segments[segment.key] = segment
         segment.stamp = revision
         segment.entries.append(piece.entry)
         segment.size += len(piece.entry) + 1
-        if segment.size > self._limit * constants.SEGMENT_PART:
+        if segment.size > self._segment_max_b * constants.SEGMENT_PART:
             segment.entries.clear()  # full enough: never written again with this content
             self._current = None
-        segment.refs |= piece.refs
+        segment.needed_pages |= piece.page_names
         self.lsn = piece.lsn
 
-    def forget(self, pages: set[PageName]) -> None:
+    def release_pages(self, pages: set[PageName]) -> None:
         """These pages need nothing from the log any more: written, or their job is over."""
         for segment in list(self.segments.values()):
-            segment.refs -= pages
-            if not segment.refs and segment is not self._current:
+            segment.needed_pages -= pages
+            if not segment.needed_pages and segment is not self._current:
                 del self.segments[segment.key]
                 self.free.append(segment)
 
-    def stale(self) -> Iterator[PageName]:
+    def stale_pages(self) -> Iterator[PageName]:
         """The pages to be written so that the oldest segments can be used again."""
-        over = len(self.segments) - self._kept
+        over = len(self.segments) - self._segments_kept
         for segment in list(self.segments.values())[: max(0, over)]:
-            yield from sorted(segment.refs)
+            yield from sorted(segment.needed_pages)
 
     def load(self, rows: list[tuple[str, int, SegmentValue]]) -> list[tuple[int, Segment, Entry]]:
         """Take over the segments of earlier leaders; all entries in their order."""
--- a/src/chalkgrade/region/store.py
+++ b/src/chalkgrade/region/store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from chalkgrade.record.conditions import lacking
+from chalkgrade.record.commit_conditions import missing_conditions
 from chalkgrade.record.jobs import BATCH_PREFIX
 from chalkgrade.region.ground import Ground
 from chalkgrade.region.rules import Broken
@@ -211,7 +211,7 @@
         conditions = {row["k"]: row["stamp"] for row in data["if"]}
         named = (key for key in conditions if key.startswith(BATCH_PREFIX))
         held = {key: self.keys[key][0] for key in named if key in self.keys}
-        wrong = lacking(conditions, data.get("apply", []), held)
+        wrong = missing_conditions(conditions, data.get("apply", []), held)
         if wrong and not self._failed(data):
             raise Broken(f"unfenced: {wrong[0]}")
 
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -38,10 +38,10 @@
     def needs(self, coming: Iterable[tuple[Job, float]], report: PlanReport) -> list[Need]:
         """Waiting work; `coming`: jobs, and in how many s they may run."""
         out: list[Need] = []
-        jobs = [job for job in self._book.jobs.values() if not job.held]
+        jobs = [job for job in self._book.jobs.values() if not job.is_blocked]
         for job in sorted(jobs, key=self._queues.order):
             # A faulty job, or one without seats, gets no more machines than it may use.
-            tasks = self._able(job, job.startable)
+            tasks = self._able(job, job.startable_count)
             if job.aborted or job.aborting or not tasks:
                 continue
             spec = self._bound(job)
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -154,7 +154,7 @@
         if shape != [(f.sku, f.room, f.sites) for f in self.flavors.values()] or (
             not self.types.stamp
         ):
-            self.types.touch()
+            self.types.mark_changed()
             self.book.flush_wanted.set()
         self.flavors.clear()
         self.flavors.update({flavor.sku: flavor for flavor in flavors})
--- a/src/chalkgrade/seams/parts.py
+++ b/src/chalkgrade/seams/parts.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.seams.gates import Gate
 
@@ -40,7 +40,7 @@
 class Part:
     """What a term asks of a subsystem, and tells it. Everything is optional."""
 
-    kept: Sequence[Kept] = ()  # read before the jobs, written when dirty
+    kept: Sequence[PersistedValue] = ()  # read before the jobs, written when dirty
     gates: Sequence[Gate] = ()  # asked by every round
     # Loops that hold durable state: an error in one ends the lead, since only what is
     # read anew under a new token can be trusted then.
--- a/src/chalkgrade/serving/intake.py
+++ b/src/chalkgrade/serving/intake.py
@@ -20,16 +20,16 @@
 from chalkgrade.machines.placement import allowed
 from chalkgrade.membership.views import Views
 from chalkgrade.outside import Clock, NoAnswer, Peers
-from chalkgrade.record import apart
+from chalkgrade.record import dependency_lists
 from chalkgrade.record.jobs import (
     END_PREFIX,
     JOB_PREFIX,
     EndValue,
-    Invalid,
     JobSpec,
     JobValue,
-    TooLong,
-    is_id,
+    SubmissionError,
+    SubmissionTooLongError,
+    is_job_id,
     parse_submission,
 )
 from chalkgrade.serving.naming import Naming
@@ -149,11 +149,11 @@
         """POST /v2/runs."""
         try:
             spec = parse_submission(body, self.ledger.limits.value_b)
-        except TooLong as error:
+        except SubmissionTooLongError as error:
             # Accepted under other limits, it must not be refused when it is repeated.
             name = msgspec.json.decode(body, type=JobSpec).nameId
             return await self._unless_known(name, (400, {"error": str(error)}))
-        except Invalid as error:
+        except SubmissionError as error:
             return 400, {"error": str(error)}
         known = self.finals.get(spec.nameId)
         if known is not None:
@@ -237,10 +237,15 @@
         for attempt in range(2):
             try:
                 if spec.waitsOn is not None:
-                    value = await apart.keep(self.ledger, value)
+                    value = await dependency_lists.store_if_too_long(self.ledger, value)
                 commit = self.ledger.commit(
                     {JOB_PREFIX + name: 0, END_PREFIX + name: 0},
-                    [{"write": JOB_PREFIX + name, "v": msgspec.Raw(apart.record(value))}],
+                    [
+                        {
+                            "write": JOB_PREFIX + name,
+                            "v": msgspec.Raw(dependency_lists.encode_record(value)),
+                        }
+                    ],
                     timeout=constants.STATE_TIMEOUT_S / 2,
                 )
                 await self.ledger.settled(commit, look)
@@ -270,7 +275,7 @@
 
     async def query(self, name: str) -> Answer:
         """GET /v2/runs/{id}."""
-        if not is_id(name):
+        if not is_job_id(name):
             return UNKNOWN
         return await self.telling.tell(name)
 
@@ -331,7 +336,7 @@
         known = self.finals.get(name)
         if known is not None:
             return 200, known
-        if not is_id(name):
+        if not is_job_id(name):
             return UNKNOWN
         try:
             async with asyncio.timeout(constants.INTAKE_DEADLINE_S):
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -18,7 +18,7 @@
 from chalkgrade.membership.watch import Watch
 from chalkgrade.membership.words import Word, mark, placed
 from chalkgrade.outside import Clock, Http, NoAnswer, Peers
-from chalkgrade.record.jobs import Invalid, parse_submission
+from chalkgrade.record.jobs import SubmissionError, parse_submission
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.seams import subsystems
 from chalkgrade.seams.parts import Sample, by_label, gauge
@@ -325,7 +325,7 @@
                 if self.term is not None and self.term.ready:
                     report = msgspec.convert(arg, Report)
                     status, body = await self.term.hello(report, relayed=True)
-        except (msgspec.ValidationError, Invalid) as error:
+        except (msgspec.ValidationError, SubmissionError) as error:
             status, body = 400, {"error": str(error)}
         except (NoAnswer, NotExecuted):
             status, body = LATER
--- a/src/chalkgrade/serving/reading.py
+++ b/src/chalkgrade/serving/reading.py
@@ -12,7 +12,7 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import NoAnswer
-from chalkgrade.record import apart
+from chalkgrade.record import dependency_lists
 from chalkgrade.record.jobs import BATCH_PREFIX, END_PREFIX, JOB_PREFIX, EndValue
 from chalkgrade.serving.lookups import Lookups
 from chalkgrade.state.ledger import Ledger, Row
@@ -244,7 +244,7 @@
     async def _names(self, mark: Mark) -> list[str]:
         if mark.apart is None:
             return mark.spec.waitsOn or []
-        return await apart.names(self.ledger, mark.spec.nameId, mark.apart)
+        return await dependency_lists.read_names(self.ledger, mark.spec.nameId, mark.apart)
 
     async def _status(self, name: str) -> str | None:
         """How a job ended; None if it has not."""
--- a/src/chalkgrade/serving/telling.py
+++ b/src/chalkgrade/serving/telling.py
@@ -19,7 +19,7 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import NoAnswer
-from chalkgrade.record.fates import Account
+from chalkgrade.record.in_flight import JobStatusReport
 from chalkgrade.serving.reading import LATER, Answer, Reading
 from chalkgrade.state.ledger import NotExecuted, Rejected
 
@@ -54,7 +54,7 @@
         try:
             async with asyncio.timeout(constants.QUERY_DEADLINE_S):
                 if status == OPEN:
-                    account = msgspec.convert(body, Account)
+                    account = msgspec.convert(body, JobStatusReport)
                     return await self.reading.settle(name, account.told, account.open)
                 return await self.reading.read(name, led=status == 404)
         except (TimeoutError, NoAnswer, NotExecuted, Rejected):
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -41,7 +41,9 @@
         declarations = queues.declarations()
         kinds = admit(declarations, admission_room, queues.settings.operator.nmin)
         demands: dict[str, Demand] = {}
-        for queue, jobs in sorted(ready.items(), key=lambda q: -max(j.spec.rank for j in q[1])):
+        for queue, jobs in sorted(
+            ready.items(), key=lambda q: -max(j.spec.urgency_rank for j in q[1])
+        ):
             guest = queues.guest(jobs[0])
             kind = Kind.ELASTIC if guest else kinds.get(queue, Kind.ELASTIC)
             record = queues.record(jobs[0])
@@ -50,11 +52,11 @@
                 queues.touch(queue)
             wants, task, remaining = self.held[queue], ZERO, 0.0
             for job in jobs:
-                count = self.gates.able(job, job.startable)
-                wants = plus(wants, tuple(a * count for a in job.spec.room))
-                task = tuple(max(a, b) for a, b in zip(task, job.spec.room, strict=True))
+                count = self.gates.able(job, job.startable_count)
+                wants = plus(wants, tuple(a * count for a in job.spec.resources))
+                task = tuple(max(a, b) for a, b in zip(task, job.spec.resources, strict=True))
                 work = (count + len(job.live)) * queues.run_s(job)
-                remaining += work * dominant(job.spec.room, self.floor.capacity)
+                remaining += work * dominant(job.spec.resources, self.floor.capacity)
             declaration = declarations.get(queue)
             rate = declaration.rate if declaration else ZERO
             # Bursts that overlap add up: the rate is at least what they hold and what their
@@ -62,9 +64,9 @@
             # for some only, they would use up what the others are granted.)
             now = self.held[queue]
             for job in jobs:
-                lack = min(job.startable, max(0, self.needed(job) - len(job.live)))
+                lack = min(job.startable_count, max(0, self.needed(job) - len(job.live)))
                 lack = self.gates.able(job, lack)
-                now = plus(now, tuple(a * lack for a in job.spec.room))
+                now = plus(now, tuple(a * lack for a in job.spec.resources))
             demands[queue] = Demand(
                 queue,
                 jobs[0].spec.owner,
@@ -73,7 +75,7 @@
                 wants,
                 tuple(max(a, b) for a, b in zip(rate, now, strict=True)),
                 remaining,
-                urgency=max(job.spec.rank for job in jobs),
+                urgency=max(job.spec.urgency_rank for job in jobs),
                 needed=ZERO if guest else now,
                 guest=guest,
                 held=self.held[queue],
@@ -97,9 +99,9 @@
         turns = self.floor.known[job.spec.bundle] * time / run_s
         if turns < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
             return False
-        if job.stays_until is None:
-            job.stays_until = self.floor.now + time / 2
-        return self.floor.now < job.stays_until
+        if job.image_affinity_until is None:
+            job.image_affinity_until = self.floor.now + time / 2
+        return self.floor.now < job.image_affinity_until
 
     def needed(self, job: Job) -> int:
         """What a job's next bound needs now; the least urgent work is in time just in time.
@@ -107,5 +109,5 @@
         More urgent work gets its room early: estimates err, images come late,
         and what runs just in time for it would keep it waiting.
         """
-        early = job.spec.rank > self.least
+        early = job.spec.urgency_rank > self.least
         return self.queues.needed(job, constants.EARLY_PART if early else 1.0)
--- a/src/chalkgrade/sharing/domain.py
+++ b/src/chalkgrade/sharing/domain.py
@@ -5,7 +5,7 @@
 
 from chalkgrade.machines.fleet import Fleet
 from chalkgrade.machines.kinds import Flavor
-from chalkgrade.record.book import Book
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.state.office import Office
 
@@ -15,7 +15,7 @@
     """A leader's jobs, machines and queues; `live`: whether it may decide anything now."""
 
     office: Office
-    book: Book
+    book: JobRegistry
     fleet: Fleet
     queues: Queues
     flavors: dict[str, Flavor]
--- a/src/chalkgrade/sharing/floor.py
+++ b/src/chalkgrade/sharing/floor.py
@@ -91,38 +91,38 @@
 
     def occupant(self, attempt: Attempt) -> Occupant:
         spec = attempt.job.spec
-        ran = self.now - attempt.since if attempt.since else 0.0
+        ran = self.now - attempt.running_since if attempt.running_since else 0.0
         lost = min(ran, spec.flushS) if spec.savepointS > 0 else ran
-        if not attempt.since and attempt.decided:
+        if not attempt.running_since and attempt.placed_at:
             # A fetch is given up with the last task that waits for it.
-            lost = min(self.now - attempt.decided, self.queues.fetch_s(attempt.job))
+            lost = min(self.now - attempt.placed_at, self.queues.fetch_s(attempt.job))
         if spec.shape == "gang":
             lost *= spec.tasks  # the others can't go on without it
-        stopping = attempt.kill_at is not None
+        stopping = attempt.kill_requested_at is not None
         left = spec.flushS + 1.0 if stopping else self.queues.left_s(attempt, self.now)
         return Occupant(
             attempt.name,
             attempt.number,
             spec.owner,
-            spec.rank,
-            spec.room,
+            spec.urgency_rank,
+            spec.resources,
             left,
             lost * spec.vcpus,
             stopping,
             spec.savepointS > 0,
-            attempt.guarded,
+            attempt.is_starvation_guarded,
         )
 
     def fitting(self, spec: JobSpec) -> list[tuple[float, str, Slot]]:
         """All machines a job may use, the soonest to have room first; once a shape and round."""
-        key = spec.suits
+        key = spec.machine_constraints
         if key not in self._waits:
             self._waits[key] = sorted(
                 (
                     (wait_s(spec, slot), slot.name, slot)
                     for slot in self.every()
                     if allowed(spec, slot.hosttype, slot.site, slot.standby)
-                    and fits(spec.room, slot.total)
+                    and fits(spec.resources, slot.total)
                 ),
                 key=lambda entry: entry[:2],
             )
--- a/src/chalkgrade/sharing/gates.py
+++ b/src/chalkgrade/sharing/gates.py
@@ -28,17 +28,17 @@
 
     def ready(self, job: Job) -> bool:
         return (
-            job.startable > 0
+            job.startable_count > 0
             and not job.aborted
             and not job.aborting
-            and self._now >= job.not_before
+            and self._now >= job.retry_at
         )
 
     def most(self, job: Job, count: int) -> int:
-        return min(count, job.startable)
+        return min(count, job.startable_count)
 
     def why(self, job: Job) -> str:
-        return FAULTY if job.faulty or self._now < job.not_before else ""
+        return FAULTY if job.is_faulty or self._now < job.retry_at else ""
 
 
 class Maxima(Gate):
@@ -59,7 +59,7 @@
         self._lasting.clear()
         for job in jobs:
             if job.live:
-                taken = tuple(a * len(job.live) for a in job.spec.room)
+                taken = tuple(a * len(job.live) for a in job.spec.resources)
                 self.used[job.spec.owner] = plus(self.used[job.spec.owner], taken)
                 if job.spec.shape == "service":
                     self._lasting[job.spec.owner] = plus(self._lasting[job.spec.owner], taken)
@@ -72,22 +72,22 @@
         return (team.cpus_max or NO_LIMIT, team.gpus_max or NO_LIMIT, NO_LIMIT)
 
     def _fits(self, job: Job, count: int) -> bool:
-        need = job.spec.room if count == 1 else tuple(a * count for a in job.spec.room)
+        need = job.spec.resources if count == 1 else tuple(a * count for a in job.spec.resources)
         return fits(plus(self.used[job.spec.owner], need), self.limit(job.spec.owner))
 
     def most(self, job: Job, count: int) -> int:
         # What the maximum leaves is kept for more urgent work of the team.
-        if job.spec.rank < self._keeps.get(job.spec.owner, job.spec.rank):
+        if job.spec.urgency_rank < self._keeps.get(job.spec.owner, job.spec.urgency_rank):
             return 0
         if not count or self._fits(job, count):
             return count
         spare = minus(self.limit(job.spec.owner), self.used[job.spec.owner])
-        rooms = zip(spare, job.spec.room, strict=True)
+        rooms = zip(spare, job.spec.resources, strict=True)
         fit = (int((left + EPS) // need) for left, need in rooms if need > 0)
         return max(0, min(count - 1, *fit))
 
     def took(self, job: Job, site: str) -> None:
-        self.used[job.spec.owner] = plus(self.used[job.spec.owner], job.spec.room)
+        self.used[job.spec.owner] = plus(self.used[job.spec.owner], job.spec.resources)
 
     def make_way(self, job: Job, stops: Stops) -> None:
         """A team at its maximum: keep what frees up for its most urgent waiting work.
@@ -97,7 +97,7 @@
         what is left would be kept from all others for ever.
         """
         spec = job.spec
-        if self._keeps.get(spec.owner, spec.rank) > spec.rank:
+        if self._keeps.get(spec.owner, spec.urgency_rank) > spec.urgency_rank:
             return
         if spec.owner not in self._soon:
             spare = minus(self.limit(spec.owner), self.used[spec.owner])
@@ -105,16 +105,16 @@
             # Replicas end when they are called off, not when they have run for their time.
             most = minus(self.limit(spec.owner), self._lasting[spec.owner])
             self._soon[spec.owner] = tuple(map(min, spare, most))
-        if fits(spec.room, self._soon[spec.owner]):
-            self._keeps[spec.owner] = spec.rank
+        if fits(spec.resources, self._soon[spec.owner]):
+            self._keeps[spec.owner] = spec.urgency_rank
         if not stops.preempt:
             return
-        wanted = tuple(a * min(len(job.waiting), stops.machines()) for a in spec.room)
+        wanted = tuple(a * min(len(job.waiting), stops.machines()) for a in spec.resources)
         over = minus(plus(self.used[spec.owner], wanted), self.limit(spec.owner))
         slack = max(constants.PREEMPT_WAIT_S, self._queues.slack(job))
         over = minus(over, stops.ending(spec.owner, slack))
         while (over[0] > 0 or over[1] > 0) and stops.own_room(job):
-            over = minus(over, spec.room)
+            over = minus(over, spec.resources)
 
     def why(self, job: Job) -> str:
         known = job.spec.owner in self.teams
@@ -167,7 +167,7 @@
     def keep(self, job: Job, slot: Slot) -> None:
         """Keep room for one task; on a large machine the rest stays free for others."""
         self.count += not slot.kept_for
-        slot.kept_for, slot.kept = job.name, job.spec.room
+        slot.kept_for, slot.kept = job.name, job.spec.resources
 
     def opens(self, job: Job, slot: Slot) -> bool:
-        return not slot.kept_for or fits(job.spec.room, slot.room_for(job.name))
+        return not slot.kept_for or fits(job.spec.resources, slot.room_for(job.name))
--- a/src/chalkgrade/sharing/largest.py
+++ b/src/chalkgrade/sharing/largest.py
@@ -38,11 +38,11 @@
         count = math.ceil(constants.LARGEST_PART * len(mates))
         least = heapq.nlargest(count, map(size, mates))[-1]
         for job in mates:
-            if size(job) < least or wall - job.open_at <= constants.LARGEST_WAIT_S:
+            if size(job) < least or wall - job.eligible_at <= constants.LARGEST_WAIT_S:
                 continue
             in_time = 0 <= slack(job) < math.inf
-            if not in_time or wall - job.open_at > constants.LARGEST_LATEST_S:
-                out[job.group].append(job)
+            if not in_time or wall - job.eligible_at > constants.LARGEST_LATEST_S:
+                out[job.round_queue].append(job)
     for mates in out.values():
-        mates.sort(key=lambda job: (job.open_at, job.name))
+        mates.sort(key=lambda job: (job.eligible_at, job.name))
     return out
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -16,7 +16,7 @@
 from chalkgrade import constants
 from chalkgrade.machines.kinds import Flavor
 from chalkgrade.outside import Clock
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.settings import Objective, Settings
 from chalkgrade.sharing.shares import Declaration
@@ -77,7 +77,7 @@
         self._filled: list[int] = []  # bytes by part
         count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / value_b))
         self.kept = [
-            Kept(
+            PersistedValue(
                 f"{SHARES_KEY}/{number}" if number else SHARES_KEY,
                 self._load,
                 partial(self._dump, number),
@@ -116,7 +116,7 @@
         self._assign()
         part = self._part[queue]
         if part < len(self.kept):
-            self.kept[part].touch()
+            self.kept[part].mark_changed()
 
     def record(self, job: Job) -> QueueRecord:
         return self.shares.queues.setdefault(job.queue, QueueRecord())
@@ -129,22 +129,22 @@
         """
         record, spec = self.record(job), job.spec
         work = spec.tasks * max(spec.expectedS, 1.0) * record.correction
-        more = tuple(amount * work for amount in spec.room)
+        more = tuple(amount * work for amount in spec.resources)
         alpha = constants.ESTIMATE_ALPHA
         due = spec.dueS or min((a.within_s for a in self._aims(job, "finished")), default=0.0)
         if record.last == 0.0:
-            record.began, record.period = job.open_at, max(due, constants.BURST_GAP_S)
+            record.began, record.period = job.eligible_at, max(due, constants.BURST_GAP_S)
             record.deadline = due
-        elif job.open_at - record.last > constants.BURST_GAP_S:
+        elif job.eligible_at - record.last > constants.BURST_GAP_S:
             old = record.burst if any(record.burst) else record.coming
             record.burst = tuple(
                 o + alpha * (n - o) for o, n in zip(old, record.coming, strict=True)
             )
-            record.period += alpha * (job.open_at - record.began - record.period)
-            record.coming, record.began = ZERO, job.open_at
+            record.period += alpha * (job.eligible_at - record.began - record.period)
+            record.coming, record.began = ZERO, job.eligible_at
         record.deadline += alpha * (due - record.deadline)
         record.coming = tuple(map(add, record.coming, more))
-        record.last = max(record.last, job.open_at)
+        record.last = max(record.last, job.eligible_at)
 
     def observe_run(self, job: Job, seconds: float) -> None:
         if job.spec.expectedS <= 0:
@@ -182,10 +182,10 @@
     def left_s(self, attempt: Attempt, now: float) -> float:
         """How long an attempt will still run; an overdue one, for a part of what it has run."""
         run_s = self.run_s(attempt.job)
-        if not attempt.since:
-            gone = now - attempt.decided if attempt.decided else 0.0
+        if not attempt.running_since:
+            gone = now - attempt.placed_at if attempt.placed_at else 0.0
             return run_s + max(0.0, self.fetch_s(attempt.job) - gone)
-        ran = now - attempt.since
+        ran = now - attempt.running_since
         return max(run_s - ran, constants.OVERDUE_PART * ran)
 
     def _aims(self, job: Job, kind: str) -> list[Objective]:
@@ -199,7 +199,7 @@
         those that can still be met; what was begun of those past it goes first, since parts
         of all jobs end none. Jobs without any bound keep their order of arrival.
         """
-        age = self.clock.wall() - job.open_at
+        age = self.clock.wall() - job.eligible_at
         run_s = self.run_s(job)
         bounds = self.bounds(job)
         missed = sum(1 for bound in bounds if age + run_s > bound)
@@ -215,7 +215,7 @@
             remaining = work * max(job.spec.vcpus, 1e-3)
         elif bounds:
             remaining = 0.0 if job.live or job.done else 1.0
-        return self.guest(job), -job.spec.rank, missed, remaining, job.open_at
+        return self.guest(job), -job.spec.urgency_rank, missed, remaining, job.eligible_at
 
     def guest(self, job: Job) -> bool:
         """Whether a job may have only what nobody else wants.
@@ -230,7 +230,7 @@
             if own is not None and not (own.cpus or own.gpus):
                 return True
         aims = self.settings.cluster.objectives
-        if job.piped:
+        if job.in_pipeline:
             return False  # what needs it, or will, has aims
         return bool(aims) and job.spec.dueS is None and job.spec.jobclass not in self._aimed
 
@@ -239,7 +239,9 @@
         due = job.spec.dueS
         if due is None:
             return []
-        return [job.at + due * a.times for a in self._aims(job, "deadline")] or [job.at + due]
+        return [job.accepted_at + due * a.times for a in self._aims(job, "deadline")] or [
+            job.accepted_at + due
+        ]
 
     def takes_s(self, job: Job) -> float:
         """From the moment in which a job may run until it is over, with room for all of it.
@@ -262,9 +264,9 @@
         Its own deadline counts from its submission, however long it waited for others; that
         of a job which needs it lies before that one's by what comes between (`pipelines`).
         """
-        dues = self.dues(job) or job.due_at
+        dues = self.dues(job) or job.due_times
         if dues:
-            return [due - job.open_at for due in dues]
+            return [due - job.eligible_at for due in dues]
         return [a.within_s for a in self._aims(job, "finished")]
 
     def fetch_s(self, job: Job) -> float:
@@ -290,7 +292,7 @@
         latest += [aim.within_s for aim in self._aims(job, "wait")]
         if not latest:
             return float("inf")
-        gone = self.clock.wall() - job.open_at + self.lead_s(job)
+        gone = self.clock.wall() - job.eligible_at + self.lead_s(job)
         return min((at - gone for at in latest if at >= gone), default=-1.0)
 
     def needed(self, job: Job, part: float = 1.0) -> int:
@@ -304,4 +306,4 @@
         if slack < 0 or slack == float("inf"):
             return 0
         waves = int(part * slack / self.run_s(job)) + 1
-        return math.ceil((job.startable + len(job.live)) / waves)
+        return math.ceil((job.startable_count + len(job.live)) / waves)
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -66,14 +66,14 @@
         self.gates.begin(self.jobs.values(), self.now)
         for job in self.jobs.values():
             if job.live:
-                taken = tuple(a * len(job.live) for a in job.spec.room)
-                self.held[job.group] = plus(self.held[job.group], taken)
+                taken = tuple(a * len(job.live) for a in job.spec.resources)
+                self.held[job.round_queue] = plus(self.held[job.round_queue], taken)
             if self.gates.ready(job):
-                ready[job.group].append(job)
+                ready[job.round_queue].append(job)
         if not ready:
             return 0
-        self.least = min(job.spec.rank for jobs in ready.values() for job in jobs)
-        rooms = {job.spec.room for jobs in ready.values() for job in jobs}
+        self.least = min(job.spec.urgency_rank for jobs in ready.values() for job in jobs)
+        rooms = {job.spec.resources for jobs in ready.values() for job in jobs}
         least_cpus = min(room[0] for room in rooms)
         self.floor = Floor(self.fleet, self.flavors, self.queues, least_cpus, self.now)
         if not self.floor.slots and not self.floor.full:
@@ -133,7 +133,7 @@
         within one urgency: less urgent work is never preferred for its image.
         """
         placed = 0
-        for _, group in itertools.groupby(jobs, key=lambda job: job.spec.rank):
+        for _, group in itertools.groupby(jobs, key=lambda job: job.spec.urgency_rank):
             mates = list(group)
             for local in (True, False):
                 count, budget = self._place_all(mates, budget, reserve and not local, local)
@@ -151,14 +151,14 @@
                 (
                     j
                     for j in self.jobs.values()
-                    if j.spec.owner == team.name and not j.aborted and not j.held
+                    if j.spec.owner == team.name and not j.aborted and not j.is_blocked
                 ),
                 # The team's urgent work counts first: else its batch jobs take, as
                 # guaranteed, the very room that was made for urgent ones.
-                key=lambda j: (-j.spec.rank, j.open_at, j.name),
+                key=lambda j: (-j.spec.urgency_rank, j.eligible_at, j.name),
             ):
-                left = job.startable + len(job.live)
-                need: Vector = tuple(a * left for a in job.spec.room)
+                left = job.startable_count + len(job.live)
+                need: Vector = tuple(a * left for a in job.spec.resources)
                 if not fits(need, room):
                     break
                 room = minus(room, need)
@@ -185,7 +185,7 @@
         """
         wall = self.queues.clock.wall()
         oldest = {
-            queue: min((j.open_at for j in jobs if j.startable), default=wall)
+            queue: min((j.eligible_at for j in jobs if j.startable_count), default=wall)
             for queue, jobs in ready.items()
         }
         late = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
@@ -227,14 +227,14 @@
         if not waiting:
             return 0
         first, spec = waiting[0], waiting[0].spec
-        whole = tuple(a * (spec.tasks if spec.shape == "gang" else 1) for a in spec.room)
-        at_once = tuple(a * (first.startable + len(first.live)) for a in spec.room)
+        whole = tuple(a * (spec.tasks if spec.shape == "gang" else 1) for a in spec.resources)
+        at_once = tuple(a * (first.startable_count + len(first.live)) for a in spec.resources)
         most = tuple(constants.LARGEST_MOST * a for a in room)
         share = tuple(constants.LARGEST_SHARE * a for a in room)
         part = tuple(map(max, share, map(min, at_once, most), whole))
         held = ZERO
         for job in jobs:
-            held = plus(held, tuple(a * len(job.live) for a in job.spec.room))
+            held = plus(held, tuple(a * len(job.live) for a in job.spec.resources))
         left = minus(part, held)
         placed, left_over = self._place_all(waiting, left, False, True)
         more, left_over = self._place_all(waiting, left_over, False)
@@ -244,9 +244,9 @@
 
     def _keep_for_wide(self, jobs: list[Job], left: Vector) -> None:
         """What of its part has found no machine keeps the machines that have room soonest."""
-        wide = next((j for j in jobs if j.startable and fits(j.spec.room, left)), None)
+        wide = next((j for j in jobs if j.startable_count and fits(j.spec.resources, left)), None)
         if wide is not None:
-            rooms = zip(left, wide.spec.room, strict=True)
+            rooms = zip(left, wide.spec.resources, strict=True)
             count = min(int(a / want) for a, want in rooms if want > 0)
             self.making.drain(wide, count)
 
@@ -263,7 +263,7 @@
                 and self.gates.ready(job)
                 and self.gates.most(job, 1) > 0
                 and slot.site in self.gates.sites(job, self.floor.zones)
-                and fits(job.spec.room, slot.free)
+                and fits(job.spec.resources, slot.free)
                 and self.gates.opens(job, slot)
             ):
                 occupy(slot, job.spec)
@@ -287,7 +287,7 @@
         placed = 0
         for job in jobs:
             spec = job.spec
-            if budget is not None and not fits(spec.room, budget):
+            if budget is not None and not fits(spec.resources, budget):
                 continue
             if not local and self.patient and self.demands.stays(job):
                 continue
@@ -295,7 +295,7 @@
                 # All at once, wherever there is room.
                 count = 0 if local else self._place_gang(job, budget, reserve)
                 if budget is not None and count:
-                    budget = minus(budget, tuple(a * count for a in spec.room))
+                    budget = minus(budget, tuple(a * count for a in spec.resources))
             else:
                 near = local and self.queues.homely(job)
                 count, budget = self._place_tasks(job, budget, reserve, near)
@@ -314,10 +314,10 @@
             return self.gates.opens(job, slot)
 
         for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
-            index = job.waiting.first(skip)
+            index = job.waiting.lowest(skip)
             if index is None:
                 break  # all placed, or present somewhere without our doing: wait for that
-            if budget is not None and not fits(spec.room, budget):
+            if budget is not None and not fits(spec.resources, budget):
                 break
             if self.gates.refused(job, 1, self.making):
                 break
@@ -331,7 +331,7 @@
             self._place(job, index, slot)
             placed += 1
             if budget is not None:
-                budget = minus(budget, spec.room)
+                budget = minus(budget, spec.resources)
         return placed, budget
 
     def _picker(self, job: Job, near: bool) -> Picker:
@@ -339,7 +339,7 @@
         spec, shunned = job.spec, self._shunned(job)
         if shunned or spec.oneZone or spec.spread:
             return Picker(spec, self.floor.slots, shunned, near)
-        key = (spec.suits, spec.bundle, spec.pullGb, near)
+        key = (spec.machine_constraints, spec.bundle, spec.pullGb, near)
         if key not in self._pickers:
             self._pickers[key] = Picker(spec, self.floor.slots, (), near)
         return self._pickers[key]
@@ -350,22 +350,22 @@
         Where no other one fits, none is rented beside a machine that has room: it would wait
         there until whatever else runs on that one has ended.
         """
-        if not 0 < len(job.failed_on) <= constants.FAULTY_MACHINES:
+        if not 0 < len(job.failures_by_machine) <= constants.FAULTY_MACHINES:
             return ()
-        known = filter(None, map(self.fleet.machines.get, job.failed_on))
+        known = filter(None, map(self.fleet.machines.get, job.failures_by_machine))
         return [m.name for m in known if self.now < m.failed_at + constants.SHUN_S]
 
     def _place_gang(self, job: Job, budget: Vector | None, reserve: bool) -> int:
         """Place all that is missing of a gang, or nothing (step 7: its grant covers all of it)."""
         spec, count = job.spec, len(job.waiting)
-        if not job.startable:
+        if not job.startable_count:
             return 0  # placed by an earlier step of this round
         if job.live:
             # Part of it is over: the rest can't go on, and all start anew together.
             for attempt in job.live.values():
-                attempt.kill_at = attempt.kill_at or self.now
+                attempt.kill_requested_at = attempt.kill_requested_at or self.now
             return 0
-        need: Vector = tuple(a * count for a in spec.room)
+        need: Vector = tuple(a * count for a in spec.resources)
         if self.floor.strange.get(job.name):
             return 0
         if budget is not None and not fits(need, budget):
@@ -385,7 +385,7 @@
             if reserve:
                 self.making.reserve(job)
             return 0
-        number = job.next_try()
+        number = job.next_try_number()
         for index, slot in zip(list(job.waiting), found, strict=True):
             occupy(slot, spec)
             self._place(job, index, slot, number)
@@ -394,12 +394,12 @@
     def _place(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
         """Put a task on a slot whose room it has taken."""
         attempt = job.place(index, slot.name, number)
-        attempt.decided = self.now
-        attempt.guarded = self.guarding
+        attempt.placed_at = self.now
+        attempt.is_starvation_guarded = self.guarding
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.fleet.token, job.name, slot.name, attempt.label)
             log.debug("%s to %s", attempt.label, slot.name, extra=what)
         self.fleet.hold(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
-        self.held[job.group] = plus(self.held[job.group], job.spec.room)
+        self.held[job.round_queue] = plus(self.held[job.round_queue], job.spec.resources)
         self.gates.took(job, slot.site)
--- a/src/chalkgrade/sharing/standing.py
+++ b/src/chalkgrade/sharing/standing.py
@@ -86,7 +86,7 @@
     )
     if not usable:
         return BOOTING if booting else WORKERS if silent else CAPACITY if refused else ROOM
-    if job.stays_until is not None and now < job.stays_until:
+    if job.image_affinity_until is not None and now < job.image_affinity_until:
         return IMAGE
     # A few that still boot, or never come, are not why so many wait.
     if booting > constants.BOOTING_PART * usable:
--- a/src/chalkgrade/sharing/stops.py
+++ b/src/chalkgrade/sharing/stops.py
@@ -96,10 +96,10 @@
 
     def may_stop(self, attempt: Attempt, job: Job) -> bool:
         spec = attempt.job.spec
-        if spec.rank < job.spec.rank and not attempt.guarded:
+        if spec.urgency_rank < job.spec.urgency_rank and not attempt.is_starvation_guarded:
             return True
         over = self._excess().get(spec.owner) if self.guaranteed else None
-        return spec.owner != job.spec.owner and over is not None and fits(spec.room[:2], over)
+        return spec.owner != job.spec.owner and over is not None and fits(spec.resources[:2], over)
 
     def loss(self, attempt: Attempt) -> float:
         return self.floor.occupant(attempt).lost
@@ -109,7 +109,7 @@
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
         for attempt in attempts:
-            attempt.kill_at = self.floor.now
+            attempt.kill_requested_at = self.floor.now
             self.stopped += 1
             log.debug(
                 "stopping %s on %s for %s",
@@ -130,7 +130,7 @@
         machine or more waits for ever. Urgent work that would come too late
         stops less urgent work where that loses least.
         """
-        waits = self.keep(job, job.startable, constants.RESERVE_PART)
+        waits = self.keep(job, job.startable_count, constants.RESERVE_PART)
         zones = self.gates.sites(job, self.floor.zones)
         late = max(constants.PREEMPT_WAIT_S, self.queues.slack(job))
         work = self.worth(job)
@@ -153,13 +153,13 @@
 
             def stays(entry: tuple[float, str, Slot]) -> bool:
                 queue, at = self.floor.fleet.machines[entry[1]].drains
-                recent = queue == job.group and now - at < constants.DRAIN_STAY_S
+                recent = queue == job.round_queue and now - at < constants.DRAIN_STAY_S
                 return recent and entry[0] <= late
 
             return sorted(soonest, key=lambda entry: not stays(entry))
 
         for slot in self._keep(job, count, constants.STARVE_KEEP, order):
-            self.floor.fleet.machines[slot.name].drains = (job.group, now)
+            self.floor.fleet.machines[slot.name].drains = (job.round_queue, now)
 
     def keep(self, job: Job, count: int, part: float) -> list[float]:
         """Keep the machines that have room soonest for so many tasks; when they will have.
@@ -181,7 +181,7 @@
     ) -> list[Slot]:
         """`order`: the machines, worked out only where some may be kept."""
         spec = job.spec
-        if not any(fits(room, spec.room) and room != spec.room for room in self.rooms):
+        if not any(fits(room, spec.resources) and room != spec.resources for room in self.rooms):
             return []  # nothing smaller waits: whatever frees up is as good for this job
         zones = self.gates.sites(job, self.floor.zones)
         every = len(self.floor.slots) + len(self.floor.full)
@@ -218,8 +218,11 @@
         """Stop what may be stopped for jobs that are behind, on a part of the machines."""
         behind: list[tuple[Job, int]] = []
         for job in jobs:
-            if self.preempt and self.queues.clock.wall() - job.open_at > constants.PREEMPT_WAIT_S:
-                count = self.gates.able(job, min(job.startable, needed(job) - len(job.live)))
+            if (
+                self.preempt
+                and self.queues.clock.wall() - job.eligible_at > constants.PREEMPT_WAIT_S
+            ):
+                count = self.gates.able(job, min(job.startable_count, needed(job) - len(job.live)))
                 if count > 0 and not self.queues.guest(job):
                     behind.append((job, count))
         if not behind:
@@ -266,7 +269,7 @@
         spec, only = job.spec, self.only
         if not self.preempt or self.queues.slack(job) < 0:
             return 0  # too late already: nobody else's work is given up for it
-        key = (spec.suits, spec.rank, spec.owner, own, self.guaranteed, only)
+        key = (spec.machine_constraints, spec.urgency_rank, spec.owner, own, self.guaranteed, only)
         if key not in self._offers:
             slots = [slot for _, _, slot in self.floor.fitting(spec)]
             excess = self._excess() if self.guaranteed else None
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -87,7 +87,7 @@
         plain = graph.released
 
         def released(job: Any) -> None:
-            for name in job.asked.waitsOn or ():
+            for name in job.submitted_spec.waitsOn or ():
                 value = self.store.keys.get(END_PREFIX + name, ({},))[0]
                 if value.get("status") != "done" and self.failure is None:
                     self.failure = Broken(f"too_early: {job.name} let go, {name} is not over")
--- a/tests/test_absence_model.py
+++ b/tests/test_absence_model.py
@@ -59,9 +59,9 @@
         self.token += 10
         self.fleet = Fleet(self.clock, self.token, LEASE_S, REPORT_S)
         self.job = Job(JobValue(spec(nameId="run-000001", tasks=6), 0.0), 1, self.log)
-        self.job.page_of(0).next = self.next
+        self.job.page_of(0).next_try = self.next
         for index, (number, machine) in self.live.items():
-            self.job._live(self.job.page_of(0), Attempt(self.job, index, number, machine, 0))
+            self.job._add_live(self.job.page_of(0), Attempt(self.job, index, number, machine, 0))
             self.fleet.hold(self.job.live[index])
 
     def machine(self) -> Machine | None:
@@ -119,7 +119,7 @@
             entry = machine.tasks.get(key)
             if entry is None:
                 if self.fleet.absent(machine, attempt) and (
-                    machine.hearing.deaf or attempt.kill_at
+                    machine.hearing.deaf or attempt.kill_requested_at
                 ):
                     self.absent(machine, attempt)
             elif entry.status == "ended" and self.fleet.over(machine, attempt, entry.cause or ""):
@@ -161,10 +161,10 @@
         assert machine is not None
         if machine.reported_at is None or not self.fleet.usable(machine):
             return
-        index = self.job.waiting.first(set())
+        index = self.job.waiting.lowest(set())
         assert index is not None
         attempt = self.job.place(index, "host-1")
-        attempt.decided, attempt.op = self.clock.at, 0
+        attempt.placed_at, attempt.op_number = self.clock.at, 0
         self.live[index] = attempt.number, "host-1"
         self.next = attempt.number + 1
         self.fleet.hold(attempt)
@@ -176,7 +176,7 @@
         assert machine is not None
         if machine.attempts and self.fleet.lapsed(machine):
             every = self.fleet.expired(machine)
-            for attempt in [a for a in machine.attempts.values() if every or a.decided]:
+            for attempt in [a for a in machine.attempts.values() if every or a.placed_at]:
                 self.absent(machine, attempt)
 
     @precondition(lambda self: "running" in self.there.values())
@@ -191,7 +191,7 @@
     def stop(self, pick: int) -> None:
         live = list(self.job.live.values())
         attempt = live[pick % len(live)]
-        attempt.kill_at = attempt.kill_at or self.clock.at
+        attempt.kill_requested_at = attempt.kill_requested_at or self.clock.at
 
     @invariant()
     def what_is_called_absent_is_absent(self) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,10 +15,10 @@
 from chalkgrade import constants
 from chalkgrade.leading.term import Term
 from chalkgrade.outside import NoAnswer
-from chalkgrade.record.book import Book
-from chalkgrade.record.changes import Admission, raw
-from chalkgrade.record.fates import Account, Fates
+from chalkgrade.record.changes import Admission, encode_raw
+from chalkgrade.record.in_flight import InFlightCommits, JobStatusReport
 from chalkgrade.record.jobs import BATCH_PREFIX, END_PREFIX, JOB_PREFIX, JobValue
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.intake import Intake
@@ -220,14 +220,14 @@
         answer = await world.look(name, alone)
     assert answer[1]["status"] == status and world.executed
     leads = lead.intake.term
-    assert leads is not None and leads.writer.fates.of(name), "its commit is open"
+    assert leads is not None and leads.writer.in_flight.keys_of(name), "its commit is open"
     again = {"GET": world.look, "POST": world.submit}
     for member in (first, third, alone):
         for what, ask in again.items():
             answer = await ask(name, member)
             assert answer is not None and answer[0] in (200, 201), (member, what, answer)
             assert answer[1]["status"] == status, (member, what, answer)
-            assert leads.writer.fates.of(name) or status in FINAL, "still open"
+            assert leads.writer.in_flight.keys_of(name) or status in FINAL, "still open"
 
 
 async def _accepted_unheard(world: Held) -> None:
@@ -377,14 +377,14 @@
 def _always_pending(patch: Patch) -> None:
     """A submission is answered by what was true when its commit was sent."""
 
-    async def admit(self: Book, value: JobValue, timeout: float) -> bool:
+    async def admit(self: JobRegistry, value: JobValue, timeout: float) -> bool:
         name = value.spec.nameId
         admission = self.admissions.get(name)
         if admission is None:
-            if name in self.jobs or name in self.over:
+            if name in self.jobs or name in self.recent_ends:
                 return False
             future = asyncio.get_running_loop().create_future()
-            admission = self.admissions[name] = Admission(value, raw(value), future)
+            admission = self.admissions[name] = Admission(value, encode_raw(value), future)
             self.admit_wanted.set()
         done, _ = await asyncio.wait({admission.result}, timeout=timeout)
         if not done:
@@ -397,28 +397,34 @@
         status, body = await plain(self, spec)
         return status, {"nameId": spec.nameId, "status": "pending"} if status == 201 else body
 
-    patch.setattr(Book, "admit", admit)
+    patch.setattr(JobRegistry, "admit", admit)
     patch.setattr(Intake, "admit", pending)
 
 
 def _book_while_the_end_is_open(patch: Patch) -> None:
-    plain = Fates.of
+    plain = InFlightCommits.keys_of
     patch.setattr(
-        Fates, "of", lambda self, name: [k for k in plain(self, name) if END_PREFIX not in k]
+        InFlightCommits,
+        "keys_of",
+        lambda self, name: [k for k in plain(self, name) if END_PREFIX not in k],
     )
 
 
 def _book_while_the_abort_is_open(patch: Patch) -> None:
-    plain = Fates.of
-    patch.setattr(Fates, "of", lambda self, name: [k for k in plain(self, name) if END_PREFIX in k])
+    plain = InFlightCommits.keys_of
+    patch.setattr(
+        InFlightCommits,
+        "keys_of",
+        lambda self, name: [k for k in plain(self, name) if END_PREFIX in k],
+    )
 
 
 def _unknown_while_it_is_admitted(patch: Patch) -> None:
     """Who asks or aborts hears that the book lacks the job, though its commit is open."""
     account, abort = Term.account, Term.abort
 
-    def without(self: Term, name: str) -> Account:
-        return account(self, name) if name in self.jobs else Account()
+    def without(self: Term, name: str) -> JobStatusReport:
+        return account(self, name) if name in self.jobs else JobStatusReport()
 
     async def at_once(self: Term, name: str) -> str | None:
         return await abort(self, name) if name in self.jobs else None
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -18,9 +18,9 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import encode
-from chalkgrade.record.book import Book
-from chalkgrade.record.changes import Change, Write
+from chalkgrade.record.changes import KeyWrite, RecordChange
 from chalkgrade.record.oplog import LOG_PREFIX, Op, OpLog
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.record.writer import Writer
 from chalkgrade.region.world import World, tell
 from test_gap import _long
@@ -45,11 +45,11 @@
 def _drain(log: OpLog, value_b: int, most: int) -> int:
     """Flush until nothing waits; a value over the limit is not written, as by the writer."""
     for flushes in range(FLUSHES):
-        flush = log.take(most)
+        flush = log.next_flush(most)
         if flush is None:
             return flushes
-        if all(len(encode(piece.value)) <= value_b for piece in flush.pieces):
-            log.saved(flush, flushes + 1)
+        if all(len(encode(piece.value)) <= value_b for piece in flush.appends):
+            log.mark_saved(flush, flushes + 1)
     raise AssertionError(f"{len(log.pending)} operations are left after {FLUSHES} flushes")
 
 
@@ -74,16 +74,16 @@
 
 
 def _lengthen(world: Any, patch: pytest.MonkeyPatch) -> None:
-    plain = Book.wanted
+    plain = JobRegistry.pending_changes
 
-    def wanted(self: Book) -> Any:
+    def wanted(self: JobRegistry) -> Any:
         for change in plain(self):
             written = [write.key for write in change.writes]
             if self is world.first.book and any(key.startswith(LOG_PREFIX) for key in written):
                 change.writes[0].value = b'"' + b"x" * 20_000 + b'"'  # type: ignore[assignment]
             yield change
 
-    patch.setattr(Book, "wanted", wanted)
+    patch.setattr(JobRegistry, "pending_changes", wanted)
 
 
 async def _others_are_written(world: Any) -> None:
@@ -103,7 +103,7 @@
         world.spawn(world.user(_long(1) | {"expectedS": 4.0}, None))
         world.spawn(_others_are_written(world))
         within = constants.STALL_S + 3 * constants.STALL_LOOK_S
-        await _until(world, 20.0, lambda: world.first.writer.unwritable)
+        await _until(world, 20.0, lambda: world.first.writer.unwritable_sizes)
         (sample,) = (s for s in world.first.samples() if s.name == "unwritable_values")
         assert sample.values[()] == 1
         await _until(world, within, lambda: leader.term is not world.first)
@@ -128,11 +128,11 @@
             def level() -> float:
                 return 8.0
 
-    changes: list[Change] = []
+    changes: list[RecordChange] = []
     office: Any = SimpleNamespace(ledger=Ledger, token=1)
     book: Any = SimpleNamespace(wanted=lambda: changes, log=SimpleNamespace(pending=()))
     writer = Writer(office, book)
-    changes.append(Change(lambda revision: None, [Write("cg/a", 0, b"x" * 101)]))  # type: ignore[list-item]
-    assert writer.collect()[0] == [] and writer.unwritable == {"cg/a": 101}
+    changes.append(RecordChange(lambda revision: None, [KeyWrite("cg/a", 0, b"x" * 101)]))  # type: ignore[list-item]
+    assert writer.collect_changes()[0] == [] and writer.unwritable_sizes == {"cg/a": 101}
     changes[0].writes[0].value = b"x"  # type: ignore[assignment]
-    assert writer.collect()[0] == changes and not writer.unwritable
+    assert writer.collect_changes()[0] == changes and not writer.unwritable_sizes
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -16,7 +16,7 @@
 from chalkgrade.leading.term import Term
 from chalkgrade.machines import fleet
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.record.book import Book
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
@@ -179,12 +179,12 @@
 
 def _forgets_cancellations(patch: Patch) -> None:
     """A new leader takes the records of cancelled jobs for those of others."""
-    plain = Book.add
+    plain = JobRegistry.add
 
-    def add(self: Book, value: Any, *args: Any, **more: Any) -> None:
+    def add(self: JobRegistry, value: Any, *args: Any, **more: Any) -> None:
         plain(self, structs.replace(value, aborted=False), *args, **more)
 
-    patch.setattr(Book, "add", add)
+    patch.setattr(JobRegistry, "add", add)
 
 
 def _kills_nothing(patch: Patch) -> None:
@@ -195,7 +195,7 @@
         await plain(self)
         for job in self.jobs.values():
             for attempt in job.live.values():
-                attempt.kill_at = None
+                attempt.kill_requested_at = None
 
     patch.setattr(Term, "_load", load)
 
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -139,7 +139,7 @@
 
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
-        if job is not None and job.complete:
+        if job is not None and job.is_complete:
             return "withdrawn"
         return await plain(self, name)
 
@@ -402,8 +402,8 @@
             key
             for key in machine.tasks
             if key not in machine.attempts
-            or (machine.attempts[key].kill_at is not None)
-            and now - (machine.attempts[key].kill_at or 0.0) > 5.0
+            or (machine.attempts[key].kill_requested_at is not None)
+            and now - (machine.attempts[key].kill_requested_at or 0.0) > 5.0
         }
         return [
             order
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from chalkgrade.record import apart
-from chalkgrade.record.book import Book
+from chalkgrade.record import dependency_lists
 from chalkgrade.record.changes import Batch
-from chalkgrade.record.conditions import lacking
-from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX, NEED_PREFIX
+from chalkgrade.record.commit_conditions import missing_conditions
+from chalkgrade.record.jobs import DEPENDENCIES_PREFIX, END_PREFIX, JOB_PREFIX
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.store import Store
 from chalkgrade.region.world import World, play, tell
@@ -44,7 +44,7 @@
 def test_each_kind_of_commit_has_what_it_lacks(
     conditions: dict[str, int], op: dict[str, Any], wrong: str
 ) -> None:
-    found = lacking(conditions, [op], {})
+    found = missing_conditions(conditions, [op], {})
     assert any(wrong in text for text in found), found
 
 
@@ -52,7 +52,7 @@
     held = {"cg/in/7-1": {"jobs": [JOB]}}
     both = TOKEN | {"cg/in/7-1": 4, "cg/in/7-1-7-0000": 0}
     moved = {"write": "cg/in/7-1-7-0000", "v": {"jobs": [JOB]}}
-    assert lacking(both, [moved, {"remove": "cg/in/7-1"}], held) == []
+    assert missing_conditions(both, [moved, {"remove": "cg/in/7-1"}], held) == []
 
 
 def _without(wanted: Callable[[str], bool]) -> Callable[[pytest.MonkeyPatch], None]:
@@ -119,10 +119,12 @@
 ) -> None:
     """Its record would come back after its end, and each leader that meets it would step down."""
     if bug:
-        monkeypatch.setattr(Book, "_unended", lambda self, job, stamp: [])
+        monkeypatch.setattr(JobRegistry, "_end_keys_to_be_absent", lambda self, job, stamp: [])
         monkeypatch.setattr(Store, "_judge", lambda self, data: None)
     # As after limits that have fallen: its batch can't be rewritten with it, only without.
-    monkeypatch.setattr(Book, "_editable", lambda self, batch, edits: None in edits.values())
+    monkeypatch.setattr(
+        JobRegistry, "_can_rewrite", lambda self, batch, edits: None in edits.values()
+    )
     stays: list[bool] = []
 
     async def story(world: Any) -> None:
@@ -176,7 +178,9 @@
         plain = Ledger.commit
 
         async def commit(self: Any, conditions: Any, apply: Any, timeout: float = 2.0) -> int:
-            parts = all(op.get("write", "").startswith(NEED_PREFIX) for op in apply) and apply
+            parts = (
+                all(op.get("write", "").startswith(DEPENDENCIES_PREFIX) for op in apply) and apply
+            )
             return await plain(self, {} if parts else conditions, apply, timeout)
 
         monkeypatch.setattr(Ledger, "commit", commit)
@@ -194,12 +198,12 @@
         world.spawn(world.user(spec, None))
         await _until(world, 60.0, lambda: spec["nameId"] in world.jobs)
         await _over(world, spec["nameId"])
-        assert not [key for key in world.store.keys if key.startswith(NEED_PREFIX)]
-        made = [d for d in world.executed if NEED_PREFIX in d["apply"][0].get("write", "")]
+        assert not [key for key in world.store.keys if key.startswith(DEPENDENCIES_PREFIX)]
+        made = [d for d in world.executed if DEPENDENCIES_PREFIX in d["apply"][0].get("write", "")]
         assert made, "its list was kept apart"
         for data in made:
             world.store._commit(data)
-        left = [key for key in world.store.keys if key.startswith(NEED_PREFIX)]
+        left = [key for key in world.store.keys if key.startswith(DEPENDENCIES_PREFIX)]
         assert bool(left) == bug
 
     tell(story, 5, loss=0.0, kind=Recording)
@@ -221,11 +225,14 @@
             answer = await world.request("users", member, "POST", "/v2/runs", spec, 5.0)
             assert answer[0] == 200 and answer[1]["status"] == "done"
 
-    assert apart.keys("run-1", ("ab", 2)) == ["cg/need/run-1/ab-0", "cg/need/run-1/ab-1"]
+    assert dependency_lists.part_keys("run-1", ("ab", 2)) == [
+        "cg/need/run-1/ab-0",
+        "cg/need/run-1/ab-1",
+    ]
     tell(story, 5, loss=0.0, kind=Recording)
 
 
 def test_a_batch_writes_what_is_left_of_it() -> None:
     batch = Batch("cg/in/7-1", 4, {"run-1": b"{}", "run-2": b"{}"})
-    assert batch.write({"run-1": None}).stamp == 4
-    assert batch.write({"run-1": None, "run-2": None}).value is None
+    assert batch.key_write({"run-1": None}).stamp == 4
+    assert batch.key_write({"run-1": None, "run-2": None}).value is None
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -144,7 +144,7 @@
 
 
 def test_ending_a_job_early_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Job, "complete", property(lambda self: self.done * 2 > self.spec.tasks))
+    monkeypatch.setattr(Job, "is_complete", property(lambda self: self.done * 2 > self.spec.tasks))
     _breaks("not_done", troubled=False)
 
 
@@ -235,7 +235,7 @@
         assert holders
         machines = term.fleet.machines.items()
         known = {name for name, machine in machines if machine.images or machine.attempts}
-        assert holders <= known | set(term.book.images)
+        assert holders <= known | set(term.book.image_hints)
 
     tell(story, 2)
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -10,8 +10,8 @@
 from chalkgrade.experiments import gap
 from chalkgrade.leading.term import Term
 from chalkgrade.outside import NoAnswer
-from chalkgrade.record.book import Book
 from chalkgrade.record.jobs import Job
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
@@ -306,14 +306,14 @@
 
 
 def _killed_when_durable(patch: pytest.MonkeyPatch) -> None:
-    plain = Book.abort
+    plain = JobRegistry.abort
 
-    def abort(self: Book, job: Job) -> None:
+    def abort(self: JobRegistry, job: Job) -> None:
         plain(self, job)
         for attempt in job.live.values():
-            attempt.kill_at = None
+            attempt.kill_requested_at = None
 
-    patch.setattr(Book, "abort", abort)
+    patch.setattr(JobRegistry, "abort", abort)
 
 
 @pytest.mark.parametrize("bug", [False, True])
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -95,7 +95,7 @@
         held = (len(first.live) + len(second.live)) * 1.0
         taken = {second.queue: (held, 0.0, 2 * held)}
         teams = term.scheduling.teams
-        demands = Demands(term.queues, teams, floor, taken, second.spec.rank, Gates([]))
+        demands = Demands(term.queues, teams, floor, taken, second.spec.urgency_rank, Gates([]))
         demand = demands.of({second.queue: [second]})[second.queue]
         lack = min(len(second.waiting), max(0, demands.needed(second) - len(second.live)))
         assert demand.needed[0] == held + lack
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -56,7 +56,7 @@
         node = _leader(world)
         assert node is not None and node.term is not None
         job = node.term.jobs["run-000001"]
-        assert job.faulty and len(job.failed_on) > 2 and len(job.live) <= 1
+        assert job.is_faulty and len(job.failures_by_machine) > 2 and len(job.live) <= 1
         await _goes_on(world, 200.0)
         assert world.idle.most < constants.SHUN_S + 15.0
         assert len(world.present()) > 8
@@ -70,7 +70,7 @@
 
     def make_way(self: Maxima, job: Job, stops: Stops) -> None:
         plain(self, job, stops)
-        owner, rank = job.spec.owner, job.spec.rank
+        owner, rank = job.spec.owner, job.spec.urgency_rank
         self._keeps[owner] = max(rank, self._keeps.get(owner, rank))
 
     patch.setattr(Maxima, "make_way", make_way)
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -13,10 +13,15 @@
 LONG = constants.LARGEST_WAIT_S + 1.0
 
 
-def _job(name: str, tasks: int, open_at: float = 0.0, **changes: Any) -> Any:
-    spec = {"jobclass": "sums", "shape": "batch", "tasks": tasks, "vcpus": 1.0, "room": ()}
+def _job(name: str, tasks: int, eligible_at: float = 0.0, **changes: Any) -> Any:
+    spec = {"jobclass": "sums", "shape": "batch", "tasks": tasks, "vcpus": 1.0, "resources": ()}
     spec |= {key: changes.pop(key) for key in tuple(changes) if key in spec}
-    fields = {"name": name, "open_at": open_at, "aborted": False, "group": "red/sums"} | changes
+    fields = {
+        "name": name,
+        "eligible_at": eligible_at,
+        "aborted": False,
+        "round_queue": "red/sums",
+    } | changes
     return SimpleNamespace(spec=SimpleNamespace(**spec), **fields)
 
 
@@ -28,7 +33,10 @@
 def test_a_tenth_of_the_class_counts_over_all_its_queues() -> None:
     """The largest of a class may all be one team's; the oldest comes first."""
     jobs = [_job(f"a-{n}", n) for n in range(1, 19)]
-    jobs += [_job("b-1", 50, 0.5, group="blue/sums"), _job("b-2", 40, 0.2, group="blue/sums")]
+    jobs += [
+        _job("b-1", 50, 0.5, round_queue="blue/sums"),
+        _job("b-2", 40, 0.2, round_queue="blue/sums"),
+    ]
     assert _names(jobs) == {"blue/sums": ["b-2", "b-1"]}
 
 
@@ -36,7 +44,7 @@
     """An aborted job or a service would hold the part for ever; a new one has its turn."""
     jobs = [_job("a-1", 1), _job("a-2", 9, aborted=True), _job("a-3", 9, shape="service")]
     assert _names(jobs) == {"red/sums": ["a-1"]}
-    assert _names([_job("a-1", 9, open_at=LONG - 1.0)]) == {}
+    assert _names([_job("a-1", 9, eligible_at=LONG - 1.0)]) == {}
 
 
 def test_who_can_still_meet_a_bound_is_left_to_step_five_for_longer() -> None:
@@ -48,9 +56,9 @@
 
 
 def _drained(now: float, waits: dict[str, float], machines: dict[str, Any]) -> list[str]:
-    """Which machines a round keeps, if these have room after so many seconds."""
-    room = (4.0, 0.0, 8.0)
-    slots = [Slot(name, "quad", "north", False, (0.0, 0.0, 0.0), room) for name in waits]
+    """Which machines a round keeps, if these have resources after so many seconds."""
+    resources = (4.0, 0.0, 8.0)
+    slots = [Slot(name, "quad", "north", False, (0.0, 0.0, 0.0), resources) for name in waits]
     order = sorted((waits[slot.name], slot.name, slot) for slot in slots)
     fleet = SimpleNamespace(machines=machines)
     floor = SimpleNamespace(
@@ -58,16 +66,16 @@
     )
     gates = SimpleNamespace(sites=lambda job, zones: zones, able=lambda job, count: count)
     maxima = SimpleNamespace(teams={})
-    rooms = [(1.0, 0.0, 2.0), room]
+    rooms = [(1.0, 0.0, 2.0), resources]
     parts: Any = (floor, None, gates, maxima, KeptRoom(), rooms, True)
-    MakingRoom(*parts).drain(_job("w-1", 4, room=room), 1)
+    MakingRoom(*parts).drain(_job("w-1", 4, resources=resources), 1)
     return [slot.name for slot in slots if slot.kept_for]
 
 
 def test_a_machine_that_empties_for_a_queue_stays_the_same() -> None:
     """Kept anew each round, another one each second as tasks were overdue, none was ever empty.
 
-    Only so long as it has room about as soon as others, and none is remembered for ever.
+    Only so long as it has resources about as soon as others, and none is remembered for ever.
     """
     machines = {name: SimpleNamespace(drains=("", 0.0)) for name in ("m-1", "m-2")}
     assert _drained(100.0, {"m-1": 3.0, "m-2": 4.0}, machines) == ["m-1"]
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -69,9 +69,9 @@
 
     def start(self, job: Job) -> Attempt | None:
         """As a round does: ask, place, tell."""
-        if not self.gate.ready(job) or not job.startable or self.gate.most(job, 1) < 1:
+        if not self.gate.ready(job) or not job.startable_count or self.gate.most(job, 1) < 1:
             return None
-        index = job.waiting.first(set())
+        index = job.waiting.lowest(set())
         assert index is not None
         attempt = job.place(index, "m")
         self.gate.took(job, "a")
@@ -115,7 +115,7 @@
         # Whoever asked last and was refused lacks a seat: nothing is kept from a lone asker
         # for longer than others' right of way, which lapses by turns.
         for job in asked:
-            if job.startable and bench.gate.why(job):
+            if job.startable_count and bench.gate.why(job):
                 assert bench.gate.needs.of(job.spec)
 
     @precondition(lambda self: any(job.live for job in self.bench.jobs))
@@ -132,7 +132,7 @@
 
     @invariant()
     def nothing_is_stopped(self) -> None:
-        assert not any(a.kill_at for job in self.bench.jobs for a in job.live.values())
+        assert not any(a.kill_requested_at for job in self.bench.jobs for a in job.live.values())
 
     def teardown(self) -> None:
         """All seats come back, and all work is served once nobody else takes them."""
@@ -209,7 +209,7 @@
     preempt, guaranteed = True, False
 
     def may_stop(self, attempt: Attempt, job: Job) -> bool:
-        return attempt.job.spec.rank < job.spec.rank
+        return attempt.job.spec.urgency_rank < job.spec.urgency_rank
 
     def loss(self, attempt: Attempt) -> float:
         return 1.0 if attempt.job.spec.savepointS else 15.0
@@ -219,7 +219,7 @@
 
     def stop(self, attempts: Any, job: Job) -> None:
         for attempt in attempts:
-            attempt.kill_at = 5.0
+            attempt.kill_requested_at = 5.0
 
 
 def _urgent() -> tuple[Bench, list[Job], Job]:
@@ -236,7 +236,9 @@
 
 
 def _stopped(bench: Bench) -> list[str]:
-    return [job.name for job in bench.jobs for a in job.live.values() if a.kill_at is not None]
+    return [
+        job.name for job in bench.jobs for a in job.live.values() if a.kill_requested_at is not None
+    ]
 
 
 def test_urgent_work_gets_the_seat_of_what_loses_least_and_only_one() -> None:
@@ -260,7 +262,7 @@
         attempt.kill_sent = sent
         bench.end(low[0])  # its seat comes free by itself
         bench.begin()
-        assert (attempt.kill_at is None) is not sent
+        assert (attempt.kill_requested_at is None) is not sent
         assert bench.start(urgent) is not None
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -279,8 +279,8 @@
         plain(self, every, now)
         for job in every:
             for attempt in job.live.values():
-                if not attempt.state and not attempt.decided:
-                    left = minus(self.used[job.spec.owner], job.spec.room)
+                if not attempt.state and not attempt.placed_at:
+                    left = minus(self.used[job.spec.owner], job.spec.resources)
                     self.used[job.spec.owner] = left
 
     patch.setattr(Maxima, "begin", begin)
@@ -297,7 +297,7 @@
 
 def _over_once_cancelled(patch: Patch) -> None:
     """The end is written while attempts may be there, and they are forgotten with the job."""
-    patch.setattr(Job, "over", property(lambda self: self.aborted or self.complete))
+    patch.setattr(Job, "is_over", property(lambda self: self.aborted or self.is_complete))
 
 
 def _gone_when_silent(patch: Patch) -> None:
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -15,7 +15,7 @@
 from chalkgrade import constants
 from chalkgrade.membership.presence import MEMBERS_PREFIX
 from chalkgrade.outside import NoAnswer
-from chalkgrade.record.changes import Write, raw
+from chalkgrade.record.changes import KeyWrite, encode_raw
 from chalkgrade.record.jobs import BATCH_PREFIX, END_PREFIX, JOB_PREFIX, TASK_PREFIX
 from chalkgrade.record.oplog import LOG_PREFIX
 from chalkgrade.record.writer import Writer
@@ -117,11 +117,11 @@
         own = {key: row[1] for key, row in keys.items() if key.startswith(JOB_PREFIX)}
         if own != {JOB_PREFIX + name: job.stamp for name, job in book.jobs.items() if job.stamp}:
             return f"records {own}"
-        for segment in [*book.log.segments.values(), *book.log.free]:
+        for segment in [*book.oplog.segments.values(), *book.oplog.free]:
             if segment.stamp != keys.get(segment.key, (None, 0, None))[1]:
                 return f"segment {segment.key}"
-        for kept in book.kept:
-            if not kept.dirty and kept.stamp != keys.get(kept.key, (None, 0, None))[1]:
+        for kept in book.persisted_values:
+            if not kept.is_dirty and kept.stamp != keys.get(kept.key, (None, 0, None))[1]:
                 return f"kept {kept.key}"
         return ""
 
@@ -174,7 +174,7 @@
     assert leader is not None and leader.intake.term is not None
     world.lose(kind, times)
     for number in range(2, 5):
-        leader.intake.term.renter.types.touch()  # a kept value
+        leader.intake.term.renter.types.mark_changed()  # a kept value
         world.spawn(world.user(_short(number), None))
         world.spawn(world.user(_short(number + 3, tasks=3, expectedS=300.0), 8.0))
         await asyncio.sleep(2.0)
@@ -192,7 +192,7 @@
     async def nothing(self: Writer, writes: Any) -> int:
         return 0
 
-    patch.setattr(Writer, "_applied_at", nothing)
+    patch.setattr(Writer, "_applied_revision", nothing)
 
 
 @pytest.mark.parametrize("bug", [False, True])
@@ -519,7 +519,7 @@
         await _until(world, 30.0, lambda: _leader(world) not in (None, old))
         changed = lambda: [k for k in before if world.store.keys[k][1] != before[k]]  # noqa: E731
         await _until(world, 30.0, changed)
-        writes = [Write(changed()[0], before[changed()[0]], msgspec.Raw(b"{}"))]
+        writes = [KeyWrite(changed()[0], before[changed()[0]], msgspec.Raw(b"{}"))]
         if bug:
             plain = old.ledger.get
 
@@ -530,7 +530,7 @@
                 return row
 
             old.ledger.get = get
-        found = await world.within(old.settings.member, writer._applied_at(writes))
+        found = await world.within(old.settings.member, writer._applied_revision(writes))
         assert (found is None) != bug
 
     tell(story, 4, loss=0.0, kind=Losing)
@@ -548,13 +548,13 @@
         leader = _leader(world)
         assert leader is not None and leader.intake.term is not None
         record = {"spec": world.spec(900), "at": 1.0}
-        mine = Write(JOB_PREFIX + "run-000900", 0, raw(record | {"aborted": True}))
+        mine = KeyWrite(JOB_PREFIX + "run-000900", 0, encode_raw(record | {"aborted": True}))
         there = record | {"aborted": True} if aborted else record
         end = END_PREFIX + "run-000900"
         made = leader.ledger.commit({mine.key: 0, end: 0}, [{"write": mine.key, "v": there}])
         stamp = await world.within(leader.settings.member, made)
         writer = leader.intake.term.writer
-        found = await world.within(leader.settings.member, writer._applied_at([mine]))
+        found = await world.within(leader.settings.member, writer._applied_revision([mine]))
         assert found == (stamp if aborted else 0)
 
     tell(story, 4, loss=0.0, kind=Losing)
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -234,7 +234,7 @@
     plain = Fleet.hold
 
     def hold(self: Fleet, attempt: Any) -> None:
-        if attempt.decided:
+        if attempt.placed_at:
             plain(self, attempt)
 
     patch.setattr(Fleet, "hold", hold)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -106,7 +106,7 @@
 
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
-        if job is not None and not job.complete:
+        if job is not None and not job.is_complete:
             self.book.abort(job)
             return "withdrawn"
         return await plain(self, name)
@@ -131,7 +131,7 @@
 
     def reconcile(self: Reports, machine: Machine) -> None:
         for key, attempt in list(machine.attempts.items()):
-            if key not in machine.tasks and not attempt.decided:
+            if key not in machine.tasks and not attempt.placed_at:
                 self.ended(machine, attempt, "done")
         plain(self, machine)
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -136,7 +136,9 @@
         for move in found.moves:
             spec = self.book.jobs[move.resident.task.rpartition("/")[0]].spec
             moved[spec.nameId] = spec.shape
-            assert spec.shape == "service" or (spec.savepointS > 0 and spec.rank < job.spec.rank)
+            assert spec.shape == "service" or (
+                spec.savepointS > 0 and spec.urgency_rank < job.spec.urgency_rank
+            )
         plain(self, job, found, *times)
 
     with pytest.MonkeyPatch.context() as patch:
@@ -158,7 +160,7 @@
         plain(self)
         for move in self._all():
             attempt = self._at_source(move)
-            if attempt is not None and attempt.kill_at is not None:
+            if attempt is not None and attempt.kill_requested_at is not None:
                 self.fleet.machines[move.source].detach(attempt)
                 attempt.job.finish(attempt, False)
                 self.on_ended(None, attempt, "")
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -7,7 +7,7 @@
 import pytest
 
 from chalkgrade.machines.placement import zones_open
-from chalkgrade.record.jobs import Invalid, parse_submission
+from chalkgrade.record.jobs import SubmissionError, parse_submission
 from chalkgrade.region.askers import NEEDED
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize(("field", "value"), _wrong())
 def test_a_field_that_is_wrong_is_named(field: str, value: Any) -> None:
-    with pytest.raises(Invalid) as found:
+    with pytest.raises(SubmissionError) as found:
         parse_submission(msgspec.json.encode(GOOD | {field: value}), 16 * 1024)
     assert field in str(found.value) and _plain(str(found.value))
 
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("field", NEEDED)
 def test_a_field_that_is_missing_is_named(field: str) -> None:
     rest = {key: value for key, value in GOOD.items() if key != field}
-    with pytest.raises(Invalid, match=field) as found:
+    with pytest.raises(SubmissionError, match=field) as found:
         parse_submission(msgspec.json.encode(rest), 16 * 1024)
     assert _plain(str(found.value))
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("raw", RAW)
 def test_what_is_no_submission_is_one_plain_error(raw: bytes) -> None:
     """Also what is nested so deep that the decoder gives up with an error of its own kind."""
-    with pytest.raises(Invalid) as found:
+    with pytest.raises(SubmissionError) as found:
         parse_submission(raw, 16 * 1024)
     assert _plain(str(found.value))
 
--- a/tests/test_oplog.py
+++ b/tests/test_oplog.py
@@ -7,7 +7,7 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import encode
-from chalkgrade.record.jobs import Job, JobValue, PageValue, Waiting
+from chalkgrade.record.jobs import Job, JobValue, PageValue, WaitingTasks
 from chalkgrade.record.oplog import Op, OpLog, SegmentValue
 from test_placement_rentals import spec
 
@@ -26,11 +26,11 @@
 
     def flush(self, log: OpLog, jobs: dict[str, Job]) -> None:
         """One commit, as the book makes it: a part of the log, pages that free its oldest."""
-        flush = log.take(self.most)
+        flush = log.next_flush(self.most)
         lsn = log.lsn if flush is None else flush.lsn
         pages = []
         if flush is None or flush.count == len(log.pending):
-            pages = list(dict.fromkeys(log.stale()))[:4]
+            pages = list(dict.fromkeys(log.stale_pages()))[:4]
         self.revision += 1
         for name in list(pages):
             value = encode(jobs[name[0]].checkpoint(name[1], lsn))
@@ -38,23 +38,23 @@
                 pages.remove(name)
                 if flush is not None:
                     continue
-                short, ops = jobs[name[0]].parted(name[1], lsn, VALUE_B)
+                short, ops = jobs[name[0]].split_checkpoint(name[1], lsn, VALUE_B)
                 value = encode(short)
                 assert len(value) <= VALUE_B and ops
                 self.carried += 1
-                log.forget({name})
-                flush, pages = log.carry(ops), []
+                log.release_pages({name})
+                flush, pages = log.reappend(ops), []
                 self.pages[name] = value
                 break
             self.pages[name] = value
         if flush is not None:
-            for piece in flush.pieces:
+            for piece in flush.appends:
                 value = encode(piece.value)
                 assert len(value) <= VALUE_B
                 assert piece.segment.stamp == self.segments.get(piece.segment.key, (0, b""))[0]
                 self.segments[piece.segment.key] = (self.revision, value)
-            log.saved(flush, self.revision)
-        log.forget(set(pages))
+            log.mark_saved(flush, self.revision)
+        log.release_pages(set(pages))
 
     def load(self, jobs: dict[str, int]) -> tuple[OpLog, dict[str, Job]]:
         log = OpLog(VALUE_B)
@@ -69,10 +69,10 @@
         for lsn, segment, entry in log.load(rows):
             for name, ops in entry.jobs:
                 if name in out:
-                    segment.refs |= {(name, page) for page in out[name].replay(lsn, ops)}
-        pages = [page.upto for job in out.values() for page in job.pages.values()]
+                    segment.needed_pages |= {(name, page) for page in out[name].replay(lsn, ops)}
+        pages = [page.durable_lsn for job in out.values() for page in job.pages.values()]
         log.lsn = max([log.lsn, *pages])
-        log.forget(set())
+        log.release_pages(set())
         return log, out
 
 
@@ -86,7 +86,7 @@
             job.done,
             sorted(job.waiting),
             sorted((i, a.number, a.machine) for i, a in job.live.items()),
-            job.faulty,  # the next leader must not start a faulty job afresh everywhere
+            job.is_faulty,  # the next leader must not start a faulty job afresh everywhere
         )
         for name, job in jobs.items()
     }
@@ -113,7 +113,7 @@
             jobs[f"run-{number}"] = job(f"run-{number}", rng.randrange(1, 300 if long else 90), log)
             durable[f"run-{number}"] = picture(jobs)[f"run-{number}"]
         one = rng.choice(list(jobs.values()))
-        index = one.waiting.first(set())
+        index = one.waiting.lowest(set())
         if kind < 0.5 and index is not None:
             one.place(index, f"host-{rng.randrange(50)}")
         elif kind < (0.6 if long else 0.9) and one.live:
@@ -124,14 +124,14 @@
             while log.pending:
                 kept.flush(log, jobs)
             kept.flush(log, jobs)
-            for name in [name for name, job in jobs.items() if job.over]:
-                log.forget({(name, page) for page in jobs.pop(name).pages})
+            for name in [name for name, job in jobs.items() if job.is_over]:
+                log.release_pages({(name, page) for page in jobs.pop(name).pages})
             durable = picture(jobs)
             reused += bool(log.free)
         elif kind > 0.985:
             log, jobs = kept.load({name: job.spec.tasks for name, job in jobs.items()})
             assert picture(jobs) == durable
-            faulty += any(job.faulty for job in jobs.values())
+            faulty += any(job.is_faulty for job in jobs.values())
     assert faulty or long
     assert (kept.carried > 0) == long
     assert reused  # segments were used again, so that old content was met
@@ -140,7 +140,7 @@
 
 def test_waiting_gives_the_lowest_number_that_still_waits() -> None:
     rng = random.Random(5)
-    waiting, twin = Waiting(40), set(range(40))
+    waiting, twin = WaitingTasks(40), set(range(40))
     for _ in range(2000):
         index = rng.randrange(40)
         if rng.random() < 0.5:
@@ -150,7 +150,7 @@
             assert waiting.remove(index) == (index in twin)
             twin.discard(index)
         skip = {rng.randrange(40) for _ in range(rng.randrange(4))}
-        assert waiting.first(skip) == min(twin - skip, default=None)
+        assert waiting.lowest(skip) == min(twin - skip, default=None)
         assert len(waiting) == len(twin)
 
 
@@ -164,20 +164,20 @@
     for length in range(1200, 1800):
         log = OpLog(VALUE_B)
         log.add(Op("run-000001", 0, 1, "m" * 500))
-        first = log.take()
+        first = log.next_flush()
         assert first is not None
-        log.saved(first, 1)
+        log.mark_saved(first, 1)
         log.add(Op("run-000002", 0, 1, "m" * length))
-        flush = log.take()
+        flush = log.next_flush()
         assert flush is not None
-        (piece,) = flush.pieces
+        (piece,) = flush.appends
         assert len(encode(piece.value)) <= VALUE_B, length
-        (begun if piece.fresh else appended).append(length)
+        (begun if piece.overwrites else appended).append(length)
     assert appended and begun and max(appended) < min(begun)
     # The longest that was appended fills the value to its last byte: nothing is given away.
     log = OpLog(VALUE_B)
     log.add(Op("run-000001", 0, 1, "m" * 500))
-    log.saved(log.take(), 1)  # type: ignore[arg-type]
+    log.mark_saved(log.next_flush(), 1)  # type: ignore[arg-type]
     log.add(Op("run-000002", 0, 1, "m" * max(appended)))
-    flush = log.take()
-    assert flush is not None and len(encode(flush.pieces[0].value)) == VALUE_B
+    flush = log.next_flush()
+    assert flush is not None and len(encode(flush.appends[0].value)) == VALUE_B
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,9 +12,9 @@
 from chalkgrade.pipelines import part as pipelines_part
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.slack import inherit
-from chalkgrade.record.book import Book
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.serving.naming import Naming
@@ -30,7 +30,7 @@
 def _job(name: str, waits: list[str], log: OpLog, **changes: Any) -> Job:
     job = Job(JobValue(spec(nameId=name, waitsOn=waits or None, **changes), 0.0), 1, log)
     if waits:
-        job.hold()
+        job.block()
     return job
 
 
@@ -73,7 +73,7 @@
         self.graph.enter(self.jobs[name], 0.0)
 
     def free(self) -> list[str]:
-        return sorted(n for n, job in self.jobs.items() if not job.held and not job.aborted)
+        return sorted(n for n, job in self.jobs.items() if not job.is_blocked and not job.aborted)
 
     @precondition(lambda self: self.free())
     @rule(data=st.data(), end=st.booleans())
@@ -130,15 +130,15 @@
     def as_the_facts_say(self) -> None:
         for name, job in getattr(self, "jobs", {}).items():
             waits = [b for b in self.named[name] if self.ends.get(b) != "done"]
-            if not job.held:
+            if not job.is_blocked:
                 assert not waits, f"{name} may run, {waits} are not done"
             elif not job.aborted and self.graph.sure(job):
                 assert not self.doomed(name), f"{name} is not cancelled with what it needs"
                 assert waits, f"{name} waits for nothing"
             if job.aborted:
                 assert name in self.aborts or self.doomed(name)
-            if job.held and not job.aborted:
-                assert len(job.waiting) == 0 and not job.startable
+            if job.is_blocked and not job.aborted:
+                assert len(job.waiting) == 0 and not job.startable_count
 
 
 TestPipelines = Pipelines.TestCase
@@ -160,18 +160,22 @@
         graph.enter(job, 0.0)
 
     def dues(job: Job) -> list[float]:
-        return [] if job.spec.dueS is None else [job.at + job.spec.dueS, job.at + 2 * job.spec.dueS]
+        return (
+            []
+            if job.spec.dueS is None
+            else [job.accepted_at + job.spec.dueS, job.accepted_at + 2 * job.spec.dueS]
+        )
 
     inherit(graph, dues, lambda job: 10.0)
-    assert made["run-1"].due_at == [80.0, 180.0] and made["run-2"].due_at == [90.0, 190.0]
+    assert made["run-1"].due_times == [80.0, 180.0] and made["run-2"].due_times == [90.0, 190.0]
     assert [job.spec.urgency for job in made.values()] == ["prod", "high", "high", "prod"]
-    assert made["run-1"].asked.urgency == "best_effort"  # what is on record stays
+    assert made["run-1"].submitted_spec.urgency == "best_effort"  # what is on record stays
     made["run-4"].aborted = True
     inherit(graph, dues, lambda job: 10.0)
     assert made["run-1"].spec.urgency == "high"
     made["run-3"].aborted = True
     inherit(graph, dues, lambda job: 10.0)
-    assert made["run-1"].spec.urgency == "standard" and made["run-1"].due_at is None
+    assert made["run-1"].spec.urgency == "standard" and made["run-1"].due_times is None
     graph.left(made["run-2"])  # over before anything was worked out anew
     graph.left(made["run-4"])
     assert made["run-1"].spec.urgency == "best_effort"
@@ -428,14 +432,14 @@
 
 
 def _by_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Book.progressed
+    plain = JobRegistry.update_ending
 
-    def progressed(self: Book, job: Job) -> None:
+    def progressed(self: JobRegistry, job: Job) -> None:
         plain(self, job)
-        if job.complete:
-            self.on_over(job, "done")
+        if job.is_complete:
+            self.on_job_ended(job, "done")
 
-    monkeypatch.setattr(Book, "progressed", progressed)
+    monkeypatch.setattr(JobRegistry, "update_ending", progressed)
 
 
 def _no_look_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -457,7 +461,7 @@
 
 
 def _not_held(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Job, "hold", lambda self: None)
+    monkeypatch.setattr(Job, "block", lambda self: None)
     monkeypatch.setattr(pipelines_part._Ready, "ready", lambda self, job: True)
 
 
@@ -492,7 +496,7 @@
     def raises(graph: Graph, dues: Any, takes: Any) -> None:
         plain(graph, dues, takes)
         for name, job in graph.jobs.items():
-            if name in kept and kept[name].rank > job.spec.rank:
+            if name in kept and kept[name].urgency_rank > job.spec.urgency_rank:
                 job.spec = kept[name]
             kept[name] = job.spec
 
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -157,7 +157,7 @@
 
 
 def _launched_before_it_is_durable(patch: Patch) -> None:
-    patch.setattr(Attempt, "durable", property(lambda self: True))
+    patch.setattr(Attempt, "is_durable", property(lambda self: True))
 
 
 BUGS = [_names_without_token, _only_its_own, _launched_before_it_is_durable]
--- a/tests/test_reports_at_start.py
+++ b/tests/test_reports_at_start.py
@@ -263,7 +263,7 @@
         before = Scheduling.on_ended
 
         def on_ended(self: Scheduling, machine: Any, attempt: Any, cause: str) -> None:
-            attempt.decided = attempt.decided or 1.0
+            attempt.placed_at = attempt.placed_at or 1.0
             before(self, machine, attempt, cause)
 
         monkeypatch.setattr(Scheduling, "on_ended", on_ended)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -283,7 +283,7 @@
     earlier = Attempt(job, 0, 1, "host-1", 0)  # read from the record
     fleet.hold(earlier)
     own = Attempt(job, 1, 1, "host-1", 0)
-    own.decided = clock.now()
+    own.placed_at = clock.now()
     fleet.hold(own)
     machine = fleet.take(Report("host-1", 1, 1, 0, "small", "a"))
     assert machine is not None
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -12,7 +12,7 @@
 import chalkgrade
 from chalkgrade.leading import term as leading
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.gates = [_Pool()]
         self.value: dict[str, int] = {"ended": 0}
-        self.kept = [Kept("cg/test/two", self._load, lambda: self.value)]
+        self.kept = [PersistedValue("cg/test/two", self._load, lambda: self.value)]
         self.heard: dict[str, int] = {}
 
     def _load(self, raw: bytes) -> None:
@@ -86,7 +86,7 @@
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
         self.value["ended"] += 1
-        self.kept[0].touch()
+        self.kept[0].mark_changed()
 
     def samples(self) -> Iterable[Sample]:
         yield gauge("two", "Tasks of the test", 2.0)
--- a/tests/test_settings_and_users.py
+++ b/tests/test_settings_and_users.py
@@ -12,7 +12,7 @@
 from chalkgrade.cli import main
 from chalkgrade.experiments import licences
 from chalkgrade.logs import about, formatter
-from chalkgrade.record.jobs import Invalid, parse_submission
+from chalkgrade.record.jobs import SubmissionError, parse_submission
 from chalkgrade.region.loop import VirtualLoop
 from chalkgrade.region.world import World, close
 from chalkgrade.settings import SettingsError, parse, parse_operator
@@ -180,7 +180,7 @@
     ],
 )
 def test_malformed_submissions(data: bytes) -> None:
-    with pytest.raises(Invalid):
+    with pytest.raises(SubmissionError):
         parse_submission(data, 16 * 1024)
 
 
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -13,7 +13,7 @@
 from chalkgrade.leading import images
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.kinds import Flavor
-from chalkgrade.record.changes import Over
+from chalkgrade.record.changes import RecentEnds
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.record.writer import Writer
 from chalkgrade.region.loop import HandClock
@@ -55,7 +55,7 @@
 
 
 def _log_is_kept(patch: Patch) -> None:
-    patch.setattr(OpLog, "forget", lambda self, pages: None)
+    patch.setattr(OpLog, "release_pages", lambda self, pages: None)
 
 
 def _overs_are_kept(patch: Patch) -> None:
@@ -66,8 +66,8 @@
     async def nothing(self: Writer) -> None:
         pass
 
-    patch.setattr(Writer, "_gather", nothing)
-    patch.setattr(Writer, "_share", nothing)
+    patch.setattr(Writer, "_wait_for_ends", nothing)
+    patch.setattr(Writer, "_wait_for_submissions", nothing)
 
 
 @pytest.mark.parametrize(
@@ -86,13 +86,13 @@
     patch.setattr(constants, "OVER_KEPT", 30)
     patch.setattr(constants, "FINAL_CACHE", 30)
     most: list[int] = []
-    plain = Over.__setitem__
+    plain = RecentEnds.__setitem__
 
-    def note(self: Over, name: str, status: str) -> None:
+    def note(self: RecentEnds, name: str, status: str) -> None:
         plain(self, name, status)
         most.append(len(self))
 
-    patch.setattr(Over, "__setitem__", note)
+    patch.setattr(RecentEnds, "__setitem__", note)
     _day("calm")
     assert len(most) > 100 and max(most) == 30
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -91,7 +91,7 @@
         first = leader.term
 
         async def write(self: Writer, changes: Any, edits: Any) -> None:
-            lane = not any(change.admits for change in changes)
+            lane = not any(change.admissions for change in changes)
             if lane and leader.term is first:
                 world.met.append("write")
                 if how == "cancelled":
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,7 +10,7 @@
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.placement import victims
 from chalkgrade.record.jobs import Job, JobValue
-from chalkgrade.record.oplog import OVER, Op, OpLog
+from chalkgrade.record.oplog import INTERRUPTED, Op, OpLog
 from chalkgrade.region.world import World, tell
 from chalkgrade.renting.boots import Boots
 from chalkgrade.renting.plan import Need, plan_rent
@@ -57,12 +57,12 @@
     assert sick.failures == 1  # one job only: it may be the job's mistake
     for index in range(4, 8):
         _fail(broken, index, sound)
-    assert broken.faulty
+    assert broken.is_faulty
     assert (sick.failures, sound.failures) == (0, 0)
     for index in range(3):
         _fail(good, index, sick)
     assert sick.failures == 1
-    assert not good.faulty
+    assert not good.is_faulty
     good.finish(good.place(10, third.name), True)
     assert sick.failures >= constants.SUSPECT_FAILURES
     assert sound.failures == third.failures == 0
@@ -74,13 +74,13 @@
     machines = [Machine(name, "small", "a", True, 0.0) for name in "abc"]
     for index, machine in enumerate(machines[:2]):
         _fail(job, index, machine)
-    assert job.startable == 1
+    assert job.startable_count == 1
     probe = job.place(5, "c")
-    assert job.startable == 0
+    assert job.startable_count == 0
     job.finish(probe, False, failed=True)
-    assert (job.startable, job.probes) == (1, 1)
+    assert (job.startable_count, job.failed_probes) == (1, 1)
     job.finish(job.place(5, "c"), True)
-    assert job.startable == len(job.waiting) == 9
+    assert job.startable_count == len(job.waiting) == 9
 
 
 def test_a_service_that_ran_gets_its_replicas_back_after_failures_on_two_machines() -> None:
@@ -98,7 +98,7 @@
             task = worker.tasks[attempt.name, attempt.number]
             worker._exit(task, "error")
             worker.changed.set()
-            job.failed_on["host-999999"] = 1
+            job.failures_by_machine["host-999999"] = 1
         await asyncio.sleep(20.0)
         assert len(job.live) == 3
 
@@ -159,11 +159,11 @@
     batch = _job("run-000002", log, 3)
     for job in (gang, batch):
         for machine in ("m1", "m2"):
-            number = job.next_try()
+            number = job.next_try_number()
             for attempt in [job.place(index, machine, number) for index in range(3)]:
                 job.finish(attempt, False, True)
-        assert job.faulty
-    assert (gang.startable, batch.startable) == (3, 1)
+        assert job.is_faulty
+    assert (gang.startable_count, batch.startable_count) == (3, 1)
 
 
 def test_a_leader_that_workers_cannot_reach_gets_their_reports(
@@ -242,9 +242,9 @@
         last = book.jobs[f"run-{39:06d}"]
         for job in list(book.jobs.values())[:39]:
             job.done = job.spec.tasks
-            book.progressed(job)
+            book.update_ending(job)
         book.abort(last)
-        changes, _ = leader.term.writer.collect()
+        changes, _ = leader.term.writer.collect_changes()
         edited = [name for change in changes for name in change.edits]
         assert edited.index(last.name) == 0
 
@@ -296,12 +296,12 @@
         assert leader.term is not None
         token, book = leader.leadership.token, leader.term.book
         for index in range(2000):
-            book.log.add(Op("run-999999", index, 1, OVER))
+            book.oplog.add(Op("run-999999", index, 1, INTERRUPTED))
         book.flush_wanted.set()
         await asyncio.sleep(10.0)
-        assert not book.log.pending
+        assert not book.oplog.pending
         assert leader.leadership.token == token
-        assert not any(segment.refs for segment in book.log.segments.values())
+        assert not any(segment.needed_pages for segment in book.oplog.segments.values())
 
     tell(story, loss=0.0)
 
@@ -434,7 +434,7 @@
         await asyncio.sleep(15.0)
         heir, _ = _roles(world)
         assert heir.term is not None
-        assert len(heir.term.jobs) + len(heir.term.book.over) >= 301 - len(world.done)
+        assert len(heir.term.jobs) + len(heir.term.book.recent_ends) >= 301 - len(world.done)
         job = heir.term.jobs[huge["nameId"]]
         assert len(job.waiting) + len(job.live) + job.done == 100_000
         before = world.started
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from chalkgrade.record.jobs import BATCH_PREFIX, BatchValue, EndValue, JobValue, PageValue
-from chalkgrade.record.oplog import OVER, Op, SegmentValue
+from chalkgrade.record.oplog import INTERRUPTED, Op, SegmentValue
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.settings import SettingsError, parse
@@ -242,10 +242,10 @@
         assert node is not None and node.term is not None
         token, book = node.leadership.token, node.term.book
         for index in range(12_000):
-            book.log.add(Op("run-999999", index, 1, OVER))
+            book.oplog.add(Op("run-999999", index, 1, INTERRUPTED))
         book.flush_wanted.set()
         await asyncio.sleep(30.0)
-        assert not book.log.pending  # the stand-in refuses what is beyond a bound
+        assert not book.oplog.pending  # the stand-in refuses what is beyond a bound
         assert node.leadership.token == token
 
     tell(story, loss=0.0, prepare=prepare, kind=Piped)
