--- a/src/chalkgrade/record/__init__.py
+++ b/src/chalkgrade/record/__init__.py
@@ -1,5 +1,5 @@
-"""The durable record: jobs, attempts, and the commits that keep them.
+"""The durable record: jobs, attempts, and the commits that store them.
 
-Ask `book` to accept, abort and end jobs and to make attempts durable; `jobs` says what
-is known of a job, `oplog` how what happened to its tasks is kept.
+`registry` accepts, aborts and ends jobs and decides what has to be written, `writer` commits it,
+`jobs` holds the state of one job, and `oplog` stores the events of its tasks.
 """
--- a/src/chalkgrade/record/changes.py
+++ b/src/chalkgrade/record/changes.py
@@ -1,4 +1,4 @@
-"""What is to be written: one change of the record, and what follows once it is durable."""
+"""Changes of the record to be committed, and the callbacks that run once they are durable."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -14,14 +14,15 @@
 
 
 def encode_raw(value: Any) -> msgspec.Raw:
-    """A value as it goes into a commit."""
+    """Encode a value for a commit."""
     return msgspec.Raw(encode(value))
 
 
 class RecentEnds(Latest[str, str]):
-    """The latest jobs that ended under this token, and how.
+    """The jobs that ended most recently under this token, with their final status.
 
-    The others are known from the record: a commit that would make one again fails there.
+    At most OVER_KEPT are held. Older ends are known from the record only: a commit that would
+    create such a job again fails on the condition that its end is absent.
     """
 
     def __init__(self) -> None:
@@ -29,9 +30,10 @@
 
 
 def group_by_batch(jobs: Iterable[Job]) -> list[Job]:
-    """Those whose records are in one batch after each other, the first of all first.
+    """Order jobs so that those with records in the same batch follow each other.
 
-    They share the batch's change, which else each commit of few ends would pay for each.
+    Batches come in the order of their first job. Ends of jobs of one batch then share one write
+    of the batch; in another order, commits with few ends would each write it again.
     """
     groups: dict[Batch | Job, list[Job]] = {}
     for job in jobs:
@@ -41,58 +43,62 @@
 
 @dataclass(eq=False)
 class PersistedValue:
-    """A subsystem's own small value that outlives the leader: one key, written whole.
+    """A subsystem's small value that outlives the leader: one key, always written as a whole.
 
-    `touch` it when it has changed; it is written with the next commit that has room.
+    Call `mark_changed` after a change; the value is written with the next commit that has space.
     """
 
     key: str
-    load: Callable[[bytes], None]  # takes over what an earlier leader wrote
-    dump: Callable[[], Any]
-    stamp: int = 0  # its last known revision; 0: it was never written
-    version: int = 0  # how often it has changed
-    durable_version: int = 0  # the version that is surely kept
-    warned_version: int = 0  # the version that was said to be too long to be kept
+    load: Callable[[bytes], None]  # restores the value that an earlier leader wrote
+    dump: Callable[[], Any]  # returns the value to write
+    stamp: int = 0  # last known revision; 0: never written
+    version: int = 0  # number of changes
+    durable_version: int = 0  # the version that is known to be durable
+    warned_version: int = 0  # the version for which a warning about its length was logged
 
     def mark_changed(self) -> None:
+        """Note that the value has changed and has to be written."""
         self.version += 1
 
     @property
     def is_dirty(self) -> bool:
+        """Whether the current version is not durable yet."""
         return self.version != self.durable_version
 
     def mark_saved(self, version: int, revision: int) -> None:
+        """Note that a version was committed at a revision."""
         self.stamp, self.durable_version = revision, version
 
 
 @dataclass
 class KeyWrite:
-    """One key's change within a commit."""
+    """The write or removal of one key within a commit."""
 
     key: str
-    stamp: int  # its last known revision; -1: whatever it is
-    value: msgspec.Raw | None  # None: removed
+    stamp: int  # expected revision; 0: absent, -1: any
+    value: msgspec.Raw | None  # None: remove the key
 
     @property
     def size(self) -> int:
+        """Estimated bytes of this write in a commit: twice the key, the value, and overhead."""
         return 2 * len(self.key) + len(self.value or b"") + 80
 
 
 @dataclass(eq=False)
 class Batch:
-    """One key under cg/in/: the records of several jobs, while they are not over."""
+    """One key under cg/in/, with the records of several jobs that are not over."""
 
     key: str
-    stamp: int = 0
-    records: dict[str, bytes] = field(default_factory=dict)
-    size: int = 0
-    has_open_commit: bool = False  # a commit with it is under way: no other may touch it meanwhile
-    # Jobs whose end is durable though their records are still here: it was too large to be
-    # rewritten. Every reader of a batch that is larger than new ones asks for ends first.
+    stamp: int = 0  # last known revision; 0: not written yet
+    records: dict[str, bytes] = field(default_factory=dict)  # job name -> encoded record
+    size: int = 0  # bytes of the records and their separators
+    has_open_commit: bool = False  # while a commit writes this batch no other commit may
+    # Jobs whose end is durable though their records are still here, because the batch was too
+    # large to be rewritten. Readers of a batch above the size limit look for ends first.
     ended_jobs: set[str] = field(default_factory=set)
 
     def records_after(self, edits: dict[str, bytes | None]) -> dict[str, bytes]:
-        """Its records after these changes."""
+        """Return the records after these edits (job name -> new record, None: removed)."""
         out = {name: value for name, value in self.records.items() if name not in self.ended_jobs}
         for name, value in edits.items():
             if value is None:
@@ -102,15 +108,17 @@
         return out
 
     def key_write(self, edits: dict[str, bytes | None]) -> KeyWrite:
+        """Return the write of the batch after these edits; a removal if no record is left."""
         values = self.records_after(edits)
         raw = msgspec.Raw(b'{"jobs":[' + b",".join(values.values()) + b"]}") if values else None
         return KeyWrite(self.key, self.stamp, raw)
 
     def size_after(self, edits: dict[str, bytes | None]) -> int:
-        """Bytes that it would take after these changes."""
+        """Return the size in bytes after these edits."""
         return sum(len(value) + 1 for value in self.records_after(edits).values())
 
     def mark_saved(self, edits: dict[str, bytes | None], revision: int) -> None:
+        """Apply edits that were committed at a revision."""
         self.stamp, self.records = revision, self.records_after(edits)
         self.ended_jobs.clear()
         self.size = sum(len(value) + 1 for value in self.records.values())
@@ -118,21 +126,23 @@
 
 @dataclass
 class RecordChange:
-    """What is written together, and what to do once it is durable."""
+    """Writes that belong into one commit, and the callback for when they are durable."""
 
-    on_durable: Callable[[int], None]
+    on_durable: Callable[[int], None]  # called with the revision of the commit
     writes: list[KeyWrite] = field(default_factory=list)
-    batch: Batch | None = None  # a batch whose records change, and how
+    batch: Batch | None = None  # the batch whose records `edits` changes
     edits: dict[str, bytes | None] = field(default_factory=dict)
-    absent_keys: list[str] = field(default_factory=list)  # keys that must not be there
+    absent_keys: list[str] = field(
+        default_factory=list
+    )  # keys that must be absent for the commit to succeed
     admissions: list["Admission"] = field(default_factory=list)
 
 
 @dataclass(eq=False)
 class Admission:
-    """A submission on its way into a batch."""
+    """A submission that is waiting to be committed in a batch."""
 
     value: JobValue
-    raw: bytes
-    result: asyncio.Future[bool]  # True: accepted now; False: some node has accepted it before
-    sent: bool = False  # in a commit that is under way
+    raw: bytes  # the encoded record
+    result: asyncio.Future[bool]  # True: accepted now; False: a node had accepted it before
+    sent: bool = False  # part of a commit in progress
--- a/src/chalkgrade/record/commit_conditions.py
+++ b/src/chalkgrade/record/commit_conditions.py
@@ -1,23 +1,23 @@
-"""What each commit is conditioned on, in one place.
+"""The conditions that each kind of commit must carry.
 
-A transaction without an answer may be executed seconds later, after newer ones of the same
-controller, and after keys have vanished and come again. So a commit must fail then, or change
-nothing that matters. What makes it so, by key:
+A transaction without an answer may be executed seconds later, after newer transactions of the
+same controller, and after keys were removed and created again. A commit that is executed late
+must therefore fail or have no effect that matters. The conditions that ensure this, by key:
 
-| key | commit | conditions | why a late one is harmless |
+| key | commit | conditions | why a late execution is harmless |
 |---|---|---|---|
-| leader | campaign, handover | its own revision (0: absent), a lease that lives | the absence may come again, but the lease is its maker's and ends within its time; its maker ends it if it comes to nothing |
-| members | join | its own revision, a lease that lives | as above; a join of an ended process is gone within its lease |
-| job | submission by a node of its own | it and the job's end are absent | the end stays for ever, so that nothing comes again |
-| job | abort beside a batch | own revision and token; if absent, the end too | as above |
-| batch | submissions, aborts, ends, splits | own revision and token; each new job's own key and end are absent | a batch key that was removed comes again only with jobs that have no end |
-| end | end, withdrawn | absent, token; the job's own key as known | never removed |
+| leader | campaign, handover | own revision (0: absent), a live lease | the key may become absent again, but the lease belongs to the sender and expires; the sender revokes it if the attempt fails |
+| members | join | own revision, a live lease | as above; the registration of a process that has exited expires with its lease |
+| job | submission by a node other than the leader | the key and the job's end are absent | the end is kept for ever, so the key is not created again |
+| job | abort of a job whose batch can't be rewritten | own revision and token; if absent, the end too | as above |
+| batch | submissions, aborts, ends, splits | own revision and token; each new job's own key and end are absent | a removed batch key is created again only with jobs that have no end |
+| end | end, withdrawn | absent, token; the last known revision of the job's own key | never removed |
 | task | checkpoint of a page | own revision and token; if absent, the job's end too | removed only after the end |
-| need | a long list of names, in parts | the job's end is absent | named by what it holds; removed only after the end |
-| log, shares, flavors, moves | appends, values kept for the next leader | own revision and token | never removed |
-| task, need | clean-up | token, and the job's end is durable | nothing is written there after the end |
+| need | parts of a long dependency list | the job's end is absent | the key contains a checksum of the list; removed only after the end |
+| log, shares, flavors, moves | appends, values stored for the next leader | own revision and token | never removed |
+| task, need | removal | token, and the job's end is durable | nothing is written there after the end |
 
-`lacking` is asked by the region's state service about every commit that it is sent.
+The simulated state service calls `missing_conditions` for every commit that it receives.
 """  # noqa: E501 - a table
 
 from collections.abc import Iterable, Mapping
@@ -35,7 +35,7 @@
 
 
 def _job_name_of(key: str) -> str:
-    """The job that a page or a part of a list is of."""
+    """Return the name of the job to which a page, a list part or a job key belongs."""
     for prefix in (TASK_PREFIX, DEPENDENCIES_PREFIX):
         if key.startswith(prefix):
             return key.removeprefix(prefix).rpartition("/")[0]
@@ -49,9 +49,10 @@
 def missing_conditions(
     conditions: Mapping[str, int], apply: Iterable[Mapping[str, Any]], held: Mapping[str, Any]
 ) -> list[str]:
-    """What a commit should be conditioned on and is not.
+    """Return the conditions that a commit must carry and does not, as texts.
 
-    `held`: the present values of the batches that it names, to which its conditions apply.
+    `conditions` maps keys to expected revisions, `apply` are the operations, and `held` has the
+    current values of the batches that the commit names.
     """
     out: list[str] = []
     token = conditions.get(LEADER_KEY, 0) > 0
--- a/src/chalkgrade/record/dependency_lists.py
+++ b/src/chalkgrade/record/dependency_lists.py
@@ -1,8 +1,9 @@
-"""Lists of jobs to wait for that one value can't hold: kept in parts under keys of their own.
+"""Storage of dependency lists (`waitsOn`) that are too long for one value of the state service.
 
-The parts are written before the submission is accepted, and are named by what they hold. So
-a repeated or late write changes nothing, an accepted job's list is always there whole, and
-what a submission that was never accepted leaves behind is read by nobody.
+Such a list is split into parts under separate keys. The parts are written before the submission
+is accepted, and their keys contain a checksum of the list. So a repeated or late write changes
+nothing, an accepted job's list is always complete, and the parts of a submission that was never
+accepted are never read.
 """
 
 import asyncio
@@ -17,33 +18,34 @@
 
 
 def encode_record(value: JobValue) -> bytes:
-    """A job's record as it is kept: without a list that is kept apart."""
+    """Encode a job's record for storage, without a dependency list that is stored separately."""
     if value.apart is None:
         return encode(value)
     return encode(JobValue(without_dependencies(value.spec), value.at, value.aborted, value.apart))
 
 
 def part_keys(name: str, where: tuple[str, int] | None) -> list[str]:
-    """Where a job's list is, if that is kept apart."""
+    """Return the keys of a job's separately stored dependency list; empty if it has none."""
     mark, count = where or ("", 0)
     return [f"{DEPENDENCIES_PREFIX}{name}/{mark}-{number}" for number in range(count)]
 
 
 async def read_names(ledger: Ledger, name: str, where: tuple[str, int]) -> list[str]:
-    """A list that is kept apart; NoAnswer where a part of it can't be read."""
+    """Read a separately stored dependency list; raises NoAnswer if a part can't be read."""
     out: list[str] = []
     for row in await asyncio.gather(*(ledger.get(key) for key in part_keys(name, where))):
         if row is None:
-            raise NoAnswer("a part of a list is missing")
+            raise NoAnswer("a part of a stored dependency list is missing")
         out += msgspec.json.decode(row.v, type=list[str])
     return out
 
 
 async def store_if_too_long(ledger: Ledger, value: JobValue) -> JobValue:
-    """Have the list kept apart if the record would be too long; may raise as a commit does.
+    """Store the dependency list separately if the record would be too long for one value.
 
-    Conflict: the job is over. Without that condition a late copy would leave parts behind that
-    nobody removes (see `conditions`).
+    Returns the record to write. Raises what a commit raises; Conflict means that the job is over.
+    Without the condition on the job's end, a copy of the commit that is executed late would leave
+    parts behind that nobody removes (see `commit_conditions`).
     """
     room = ledger.limits.value_b
     if len(encode(value)) <= room - constants.RECORD_SPARE_B // 2:
@@ -61,7 +63,7 @@
     made = JobValue(value.spec, value.at, value.aborted, (mark, len(parts)))
     where = part_keys(value.spec.nameId, made.apart)
     writes = [{"write": key, "v": part} for key, part in zip(where, parts, strict=True)]
-    # A commit as a whole is bounded too: most values of the size allowed fit, not all.
+    # The total size of a commit is limited too, so only some values of maximum size fit in one.
     most = max(1, min(ledger.limits.txn_ops, constants.COMMIT_MAX_B // (2 * room)))
     for begin in range(0, len(writes), most):
         await ledger.commit({END_PREFIX + value.spec.nameId: 0}, writes[begin : begin + most])
@@ -69,7 +71,7 @@
 
 
 async def with_dependencies(ledger: Ledger, value: JobValue) -> JobValue:
-    """A record with its list; NoAnswer where a part can't be read."""
+    """Return the record with its dependency list; raises NoAnswer if a part can't be read."""
     if value.apart is None or value.spec.waitsOn is not None:
         return value
     found = await read_names(ledger, value.spec.nameId, value.apart)
--- a/src/chalkgrade/record/in_flight.py
+++ b/src/chalkgrade/record/in_flight.py
@@ -1,9 +1,10 @@
-"""Commits whose fate is open: sent, and perhaps executed, with no answer yet.
+"""Commits that were sent, may have been executed, and have no answer yet.
 
-Whoever reads the record sees what such a commit has changed, and tells users. So what memory
-says of those jobs may be older than what users know: `account` names the keys that show it,
-and whoever answers reads them first (`serving.telling`). Until a commit is sent nobody can
-know what it says; once its answer is taken in, memory says the same.
+Other nodes that read the record see the effect of such a commit and report it to users. So the
+leader's memory of the jobs concerned may be older than what users were told. A status report
+therefore names the keys that open commits write for the job, and the node that answers the user
+reads these keys first. Before a commit is sent its effect is invisible; after its answer was
+processed, memory has the same state.
 """
 
 from collections.abc import Iterable, Iterator
@@ -16,14 +17,14 @@
 
 
 class JobStatusReport(msgspec.Struct):
-    """What the leader's book says of a job, and by which keys it may be out of date."""
+    """A job's status in the leader's memory, and the keys by which it may be out of date."""
 
-    told: dict[str, Any] | None = None  # None: the book does not have it
-    open: list[str] = []
+    told: dict[str, Any] | None = None  # the status; None: the job is not in the registry
+    open: list[str] = []  # keys that open commits write for the job
 
 
 def affected_keys(change: RecordChange) -> Iterator[tuple[str, str]]:
-    """Jobs of which a change alters what users are told, each with a key that shows it."""
+    """Yield (job name, key) for each job whose user-visible status a change alters."""
     for write in change.writes:
         for prefix in (END_PREFIX, JOB_PREFIX):
             if write.value is not None and write.key.startswith(prefix):
@@ -35,19 +36,19 @@
 
 
 class InFlightCommits:
-    """One term's open commits, by job."""
+    """The open commits of one term, by job."""
 
     def __init__(self) -> None:
         self._keys_by_job: dict[str, list[str]] = {}
 
     def begin(self, changes: Iterable[RecordChange]) -> None:
-        """They are about to be sent."""
+        """Register changes that are about to be sent."""
         for change in changes:
             for name, key in affected_keys(change):
                 self._keys_by_job.setdefault(name, []).append(key)
 
     def resolve(self, changes: Iterable[RecordChange]) -> None:
-        """What became of them is known, and in memory."""
+        """Remove changes whose outcome is known and applied in memory."""
         for change in changes:
             for name, key in affected_keys(change):
                 keys = self._keys_by_job.get(name, [])
@@ -57,4 +58,5 @@
                     self._keys_by_job.pop(name, None)
 
     def keys_of(self, name: str) -> list[str]:
+        """Return the keys that open commits write for a job."""
         return list(self._keys_by_job.get(name, ()))
--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -1,14 +1,15 @@
 """Jobs and their durable records.
 
 Keys in the state service:
-- cg/in/N: several jobs that are not over (their submissions, and whether they were aborted);
-- cg/job/ID: one such job, accepted by a node that could not reach the leader;
-- cg/log/N: what happened to tasks lately, of all jobs (`oplog`);
-- cg/task/ID/PAGE: a checkpoint of some of its tasks: what is done, what may be running;
-- cg/need/ID/MARK-N: a part of a list of jobs waited for that is too long for the record;
+- cg/in/N: a batch of unfinished jobs (their submissions, and whether they were aborted);
+- cg/job/ID: one unfinished job, accepted by a node that could not reach the leader;
+- cg/log/N: recent events of the tasks of all jobs (`oplog`);
+- cg/task/ID/PAGE: a checkpoint of some tasks of a job: which are done, which may be running;
+- cg/need/ID/MARK-N: a part of a dependency list that is too long for the record;
 - cg/end/ID: the final state, kept for ever.
-A job moves from the first two to the last in one commit, so at every revision
-an accepted job is found among the first two or under the last.
+
+A job moves from one of the first two keys to the last in one commit. So at every revision an
+accepted job is found under one of the first two or under the last.
 """
 
 import heapq
@@ -33,15 +34,15 @@
 
 
 class SubmissionError(Exception):
-    """A submission that is malformed (400)."""
+    """A submission is malformed (HTTP status 400)."""
 
 
 class SubmissionTooLongError(SubmissionError):
-    """One that can't be kept; under higher limits it may have been accepted once."""
+    """A submission is too long to be stored; under higher limits it may have been accepted before."""
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A submission, in the platform's field names."""
+    """A submission, with the platform's field names; times in seconds, sizes in GB."""
 
     nameId: str
     jobclass: str
@@ -63,28 +64,31 @@
     hosttypes: list[str] | None = None
     site: str | None = None
     dueS: float | None = None
-    licences: dict[str, int] | None = None  # pool -> seats a task; where licences are on
-    waitsOn: list[str] | None = None  # jobs that are done before any of its tasks starts
+    licences: dict[str, int] | None = (
+        None  # licence pool -> seats per task, if licences are enabled
+    )
+    waitsOn: list[str] | None = None  # jobs that must be done before any task starts
 
     @property
     def urgency_rank(self) -> int:
+        """The urgency as a number; higher is more urgent."""
         return URGENCY_RANKS[self.urgency]
 
     @property
     def resources(self) -> tuple[float, float, float]:
-        """What one task takes: CPUs, GPUs, memory."""
+        """Resources of one task: CPUs, GPUs, memory in GB."""
         return self.vcpus, self.gpus, self.memoryGb
 
     @property
     def machine_constraints(self) -> tuple[object, ...]:
-        """What decides which machines its tasks may have: alike for jobs that have it alike."""
+        """The fields that decide which machines suit its tasks; equal for equivalent jobs."""
         return self.resources, tuple(self.hosttypes or ()), self.site, self.standby
 
 
 def parse_submission(body: bytes, value_b: int) -> JobSpec:
-    """Decode and check a submission; Invalid names what is wrong.
+    """Decode and check a submission; raises SubmissionError with the faulty field.
 
-    `value_b`: bytes that its record may take; a list of jobs to wait for may be longer.
+    The record may take `value_b` bytes; the dependency list is not counted and may be longer.
     """
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
@@ -106,7 +110,7 @@
         for name in spec.waitsOn:
             if not is_job_id(name) or name == spec.nameId:
                 raise SubmissionError(f"waitsOn: {name[:100]!r} is no other job's id")
-        # The same name twice counts once; none is as if the field were not there.
+        # Repeated names count once, and an empty list is treated like a missing field.
         spec = msgspec.structs.replace(spec, waitsOn=list(dict.fromkeys(spec.waitsOn)) or None)
     if len(encode(without_dependencies(spec))) > value_b - constants.RECORD_SPARE_B:
         raise SubmissionTooLongError("the description is too long to be kept")
@@ -114,22 +118,22 @@
 
 
 def is_job_id(name: str) -> bool:
-    """Whether a job could be called so."""
+    """Whether a text is a valid job id."""
     return len(name) <= constants.ID_MAX and JOB_ID_PATTERN.match(name) is not None
 
 
 def without_dependencies(spec: JobSpec) -> JobSpec:
-    """A submission without the jobs that it waits for."""
+    """Return a submission without its dependency list."""
     return spec if spec.waitsOn is None else msgspec.structs.replace(spec, waitsOn=None)
 
 
 class JobValue(msgspec.Struct, omit_defaults=True):
-    """The value under cg/job/, and one of those under cg/in/."""
+    """A job's record: the value under cg/job/, and an element of those under cg/in/."""
 
-    spec: JobSpec
-    at: float  # wall time of the acceptance
+    spec: JobSpec  # as submitted
+    at: float  # wall time of the acceptance, in seconds
     aborted: bool = False
-    # Where its list of jobs to wait for is, if that is kept apart: a mark, and how many parts.
+    # The separately stored dependency list, if there is one: its checksum and number of parts.
     apart: tuple[str, int] | None = None
 
 
@@ -140,26 +144,29 @@
 
 
 class EndValue(msgspec.Struct):
+    """The value under cg/end/."""
+
     status: Literal["done", "withdrawn"]
-    tasks: int = 0
-    at: float = 0.0  # wall time of the end, from which those that waited for it count
+    tasks: int = 0  # number of done tasks
+    at: float = 0.0  # wall time of the end; jobs that depend on it wait from then on
 
 
 class PageValue(msgspec.Struct):
-    """The value under cg/task/: next try, ranges of done tasks, live attempts.
+    """The value under cg/task/, a checkpoint of one page.
 
-    It holds all that the log said up to the entry `u`.
+    It includes all log entries up to the sequence number `u`. The field names have one letter
+    because they are stored with every page.
     """
 
-    n: int = 1
-    d: list[tuple[int, int]] = []
-    l: dict[int, tuple[int, str]] = {}  # noqa: E741 - one letter: it is stored per page
-    u: int = 0
-    f: list[str] = []  # machines that its tasks failed on, while nothing of the job is done
+    n: int = 1  # next try number
+    d: list[tuple[int, int]] = []  # ranges of done tasks, both ends included
+    l: dict[int, tuple[int, str]] = {}  # noqa: E741 - live attempts: task -> try number, machine
+    u: int = 0  # last log entry that is included
+    f: list[str] = []  # machines on which its tasks failed, while no task of the job is done
 
 
 class Attempt:
-    """One try of one task on one machine, as long as it may be there."""
+    """One try of one task on one machine, for as long as it may be running there."""
 
     __slots__ = (
         "job",
@@ -181,33 +188,37 @@
         self.index = index
         self.number = number
         self.machine = machine
-        self.op_number = op  # the operation of the log that makes it durable
-        self.launch_report: tuple[int, int] | None = None  # report answered with its launch
-        self.state = ""  # as last reported; "" while it was never seen
-        self.kill_requested_at: float | None = None  # since when we want it stopped
-        self.kill_sent = False  # an order to stop it may have been executed
-        self.running_since = 0.0  # when it was first seen running
-        self.placed_at = 0.0  # when it was placed; 0: under an earlier leader
+        self.op_number = op  # the log operation that makes it durable
+        self.launch_report: tuple[int, int] | None = (
+            None  # the report whose answer ordered its launch
+        )
+        self.state = ""  # as last reported; "" if never reported
+        self.kill_requested_at: float | None = None  # since when it is to be stopped
+        self.kill_sent = False  # a kill order may have been executed
+        self.running_since = 0.0  # when it was first reported running
+        self.placed_at = 0.0  # when it was placed; 0: by an earlier leader
         self.is_starvation_guarded = (
-            False  # started by the guard against starvation: urgency does not stop it
+            False  # started by starvation protection: not preempted by urgency
         )
 
     @property
     def name(self) -> str:
+        """The task's name: job and index."""
         return f"{self.job.spec.nameId}/{self.index}"
 
     @property
     def label(self) -> str:
-        """Its name in logs: task and try."""
+        """Its name in logs: task and try number."""
         return f"{self.name}#{self.number}"
 
     @property
     def is_durable(self) -> bool:
+        """Whether the log durably holds its placement."""
         return self.job.oplog.durable_count >= self.op_number
 
 
 class Page:
-    """A slice of a job's tasks: the unit of checkpoints."""
+    """A range of PAGE_TASKS tasks of a job: the unit of checkpoints."""
 
     __slots__ = ("key", "next_try", "done", "live", "stamp", "durable_lsn")
 
@@ -217,10 +228,10 @@
         self.done: set[int] = set()
         self.live: dict[int, Attempt] = {}
         self.stamp = 0
-        self.durable_lsn = 0  # the entry of the log up to which the durable record goes
+        self.durable_lsn = 0  # the log entry up to which the stored checkpoint goes
 
     def value(self, upto: int, failed: list[str]) -> PageValue:
-        """Its checkpoint; `failed`: machines that the job failed on."""
+        """Return its checkpoint; `failed` are machines on which the job failed."""
         return PageValue(
             self.next_try,
             _ranges(self.done),
@@ -231,6 +242,7 @@
 
 
 def _ranges(numbers: Iterable[int]) -> list[tuple[int, int]]:
+    """Combine numbers into ranges of consecutive ones, both ends included."""
     out: list[tuple[int, int]] = []
     for number in sorted(numbers):
         if out and out[-1][1] == number - 1:
@@ -241,14 +253,14 @@
 
 
 class WaitingTasks:
-    """The tasks of a job without an attempt, the lowest number first.
+    """The tasks of a job that have no attempt, ordered by number.
 
-    An interrupted task comes back before those that were never started. Each
-    step costs no more than the logarithm of the job's size.
+    An interrupted task comes before those that were never started. Each operation takes
+    amortised logarithmic time in the number of tasks.
     """
 
     def __init__(self, count: int) -> None:
-        self._heap = list(range(count))  # may hold numbers that do not wait any more
+        self._heap = list(range(count))  # may contain tasks that no longer wait
         self._members = set(self._heap)
 
     def __len__(self) -> int:
@@ -261,19 +273,20 @@
         return iter(sorted(self._members))
 
     def add(self, index: int) -> None:
+        """Add a task."""
         if index not in self._members:
             self._members.add(index)
             heapq.heappush(self._heap, index)
 
     def remove(self, index: int) -> bool:
-        """Whether it was waiting."""
+        """Remove a task; returns whether it was waiting."""
         if index not in self._members:
             return False
         self._members.remove(index)
         return True
 
     def lowest(self, skip: set[int]) -> int | None:
-        """The lowest number that waits and is not to be skipped."""
+        """Return the lowest waiting task that is not in `skip`, or None."""
         passed = []
         found = None
         while self._heap:
@@ -291,73 +304,72 @@
 
 
 class Job:
-    """A job that is not over, in the leader's memory."""
+    """An unfinished job in the leader's memory."""
 
     def __init__(self, value: JobValue, stamp: int, log: OpLog, batch: Any = None) -> None:
-        self.batch = batch  # where its record is, with others' (`book.Batch`), or None
+        self.batch = batch  # the `changes.Batch` with its record, or None
         self.submitted_spec = value.spec  # as submitted
-        self.spec = value.spec  # as it is treated: of the urgency of those that need it, too
+        self.spec = value.spec  # as scheduled: with the urgency of its dependents
         self.stored_dependencies = value.apart
-        self.queue = f"{value.spec.owner}/{value.spec.jobclass}"  # a team's jobs of one class
+        self.queue = f"{value.spec.owner}/{value.spec.jobclass}"  # owner and job class
         self.oplog = log
         self.accepted_at = value.at
-        self.eligible_at = value.at  # wall time from which it may run: its waits count from then
-        self.due_times: list[float] | None = None  # times by which others need it to be over
+        self.eligible_at = value.at  # wall time from which it may run and its wait counts
+        self.due_times: list[float] | None = None  # wall times by which dependents need its end
         self.in_pipeline = (
             value.spec.waitsOn is not None or value.apart is not None
-        )  # in a pipeline
-        self.is_blocked = False  # it waits for other jobs: it has no task that waits for room
-        self.aborted = value.aborted  # durable, so users may hear it
-        self.aborting = False  # being made durable: nothing may be launched any more
-        self.reported_cancelled = (
-            False  # another controller has told of its end, out of this leader's sight
-        )
-        self.stamp = stamp  # revision of its own record; 0: it has none
+        )  # has dependencies or dependents
+        self.is_blocked = False  # its dependencies are not done: none of its tasks is waiting
+        self.aborted = value.aborted  # durable, so users may be told
+        self.aborting = False  # abort not durable yet: nothing may be launched
+        self.reported_cancelled = False  # another controller reported its cancellation
+        self.stamp = stamp  # revision of its own record; 0: none
         self.pages: dict[int, Page] = {}
         self.waiting = WaitingTasks(self.spec.tasks)
         self.done = 0
         self.live: dict[int, Attempt] = {}
         self.failures_by_machine: dict[str, int] = {}  # machine -> failed attempts there
-        self.failed_probes = 0  # failed attempts since the job is held for faulty
-        self.probe_limit = 1  # probes at once: twice as many as have run for long
-        self.has_run_long = False  # a replica of it ran for long: nothing of a service is ever done
+        self.failed_probes = 0  # failed attempts while the job counts as faulty
+        self.probe_limit = 1  # concurrent probes: twice as many as have run long
+        self.has_run_long = False  # a replica ran long: tasks of a service are never done
         self.retry_at = 0.0
         self.image_affinity_until: float | None = (
-            None  # how long it keeps to machines with its image
+            None  # until when it waits for machines with its image
         )
 
     @property
     def name(self) -> str:
+        """The job's id."""
         return self.spec.nameId
 
     @property
     def cancelled(self) -> bool:
-        """Whether its user asked for its end: nothing of it is of use any more."""
+        """Whether its user cancelled it, so that its tasks are of no use any more."""
         return self.aborted or self.aborting or self.reported_cancelled
 
     @property
     def round_queue(self) -> str:
-        """Its queue in a round.
+        """Its queue in a scheduling round.
 
-        Work that is as urgent as what needs it stands by itself: one such job must not lift
-        all of its queue above others.
+        A job whose urgency is raised by its dependents gets a queue of its own, so that it does
+        not move its whole regular queue ahead of others.
         """
         lifted = self.spec.urgency_rank != self.submitted_spec.urgency_rank
         return f"{self.queue}#{self.spec.urgency}" if lifted else self.queue
 
     @property
     def value(self) -> JobValue:
-        """Its record."""
+        """The job's record."""
         return JobValue(
             self.submitted_spec, self.accepted_at, self.aborted, self.stored_dependencies
         )
 
     def block(self) -> None:
-        """It waits for other jobs: until `release` nothing of it waits for room."""
+        """Take its tasks out of scheduling until `unblock`, because dependencies are not done."""
         self.is_blocked, self.waiting = True, WaitingTasks(0)
 
     def unblock(self, at: float) -> None:
-        """All that it waited for is durably done, the last of it at wall time `at`."""
+        """Make it schedulable: its dependencies are durably done, the last since wall time `at`."""
         self.is_blocked, self.eligible_at = False, max(self.accepted_at, at)
         self.waiting = WaitingTasks(self.spec.tasks)
         for page in self.pages.values():
@@ -365,6 +377,7 @@
                 self.waiting.remove(index)
 
     def page_of(self, index: int) -> Page:
+        """Return the page of a task, creating it if needed."""
         number = index // constants.PAGE_TASKS
         page = self.pages.get(number)
         if page is None:
@@ -372,7 +385,7 @@
         return page
 
     def load_page(self, number: int, value: PageValue, stamp: int) -> None:
-        """Take over a checkpoint."""
+        """Restore a page from its checkpoint."""
         page = self.page_of(number * constants.PAGE_TASKS)
         page.next_try, page.stamp, page.durable_lsn = value.n, stamp, value.u
         for name in value.f:
@@ -384,7 +397,7 @@
             self._add_live(page, Attempt(self, index, try_number, machine, 0))
 
     def replay(self, lsn: int, ops: list[tuple[int, int, str | int]]) -> set[int]:
-        """Take over what the log says; the pages that it tells something new."""
+        """Apply a log entry's operations; returns the numbers of the pages that they changed."""
         told = set()
         for index, number, what in ops:
             page = self.page_of(index)
@@ -403,17 +416,17 @@
         return told
 
     def checkpoint(self, number: int, upto: int) -> PageValue:
-        """A page as it is written; it stands for the log up to that entry."""
+        """Return a page's checkpoint, which replaces the log up to the entry `upto`."""
         failed = (
             [] if self.has_succeeded else sorted(self.failures_by_machine)[: constants.FAILED_KEPT]
         )
         return self.pages[number].value(upto, failed)
 
     def split_checkpoint(self, number: int, upto: int, value_b: int) -> tuple[PageValue, list[Op]]:
-        """A checkpoint for which a value is too small, and what is to be told to the log again.
+        """Return a checkpoint that fits `value_b` bytes, and operations to append to the log again.
 
-        It keeps what is done and as many live attempts as fit; the others have to follow in
-        the log, behind the entry that the page stands for.
+        The checkpoint has all done tasks and as many live attempts as fit. The other attempts
+        have to follow in the log, after the entry up to which the page replaces it.
         """
         value = self.checkpoint(number, upto)
         live, value.l = value.l, {}
@@ -444,11 +457,11 @@
             self.waiting.add(attempt.index)
 
     def next_try_number(self) -> int:
-        """A try number that no task of the job has had: a gang's tasks share one."""
+        """Return a try number that no task of the job has had; a gang's tasks share one."""
         return max((page.next_try for page in self.pages.values()), default=1)
 
     def place(self, index: int, machine: str, number: int | None = None) -> Attempt:
-        """Decide an attempt; it may be launched once the log holds it."""
+        """Create an attempt on a machine; it may be launched once the log durably holds it."""
         page = self.page_of(index)
         if number is None:
             number = page.next_try
@@ -459,7 +472,7 @@
         return attempt
 
     def finish(self, attempt: Attempt, done: bool, failed: bool = False) -> None:
-        """An attempt is over (or surely gone); its task is done or waits again."""
+        """End an attempt that is over or surely gone; its task is done or waits again."""
         page = self.page_of(attempt.index)
         if page.live.get(attempt.index) is not attempt:
             return
@@ -471,26 +484,26 @@
         self._remove_live(page, attempt, done)
 
     def record_failure(self, index: int, machine: str) -> None:
-        """An attempt at one of its tasks failed there."""
+        """Count a failed attempt of a task on a machine."""
         if self.is_faulty and not self.live.keys() - {index}:
             self.failed_probes += 1
         self.failures_by_machine[machine] = self.failures_by_machine.get(machine, 0) + 1
 
     @property
     def has_succeeded(self) -> bool:
-        """Some task was completed, or a replica ran for long: what fails is the machine's fault."""
+        """Whether a task was done or a replica ran long; failures are then blamed on machines."""
         return self.done > 0 or self.has_run_long
 
     @property
     def is_faulty(self) -> bool:
-        """It failed on several machines and never succeeded: held for a mistake of its own."""
+        """Whether it failed on FAULTY_MACHINES machines and never succeeded; starts are limited."""
         return not self.has_succeeded and len(self.failures_by_machine) >= constants.FAULTY_MACHINES
 
     @property
     def startable_count(self) -> int:
-        """How many tasks may be started now: of a faulty job one as a probe, or `trials` at once.
+        """How many tasks may be started now; of a faulty job at most `probe_limit` run at once.
 
-        A gang's probe is the whole gang: one of its tasks alone never starts, and would wait.
+        The probe of a faulty gang is the whole gang, since one of its tasks alone never starts.
         """
         if not self.is_faulty or (self.spec.shape == "gang" and not self.live):
             return len(self.waiting)
@@ -499,15 +512,16 @@
 
     @property
     def is_complete(self) -> bool:
+        """Whether all tasks are done; never for a service or an aborted job."""
         return not self.aborted and self.spec.shape != "service" and self.done == self.spec.tasks
 
     @property
     def is_over(self) -> bool:
-        """Nothing is left to do but the final record."""
+        """Whether only the final record is left to be written."""
         return self.is_complete or (self.aborted and not self.live)
 
     def status(self) -> dict[str, Any]:
-        """What a user is told while the job is in the leader's book."""
+        """Return the status that users get while the job is unfinished."""
         running = sum(1 for a in self.live.values() if a.state in ("running", "saving"))
         state = "withdrawn" if self.aborted else "running" if running else "pending"
         return {"nameId": self.name, "status": state, "done": self.done, "running": running}
--- a/src/chalkgrade/record/oplog.py
+++ b/src/chalkgrade/record/oplog.py
@@ -1,15 +1,13 @@
-"""The write-ahead log of attempts: many tasks' changes in one change of the state service.
-
-The state service counts changes, not bytes. So what happens to tasks is not
-written to one record per job: all of it, of all jobs, is appended to the
-current segment of a log, which costs one change a commit however many tasks it
-carries, as far as one value holds them. Pages of jobs (`jobs.Page`) are
-checkpoints, written only when a segment is to be used again while its job still
-runs; most jobs end before.
-
-A segment is used again once nothing in it counts any more: each of its jobs is
-over or each of the pages it names has been written since. Its old content may
-be read until it is overwritten, and is told apart by its numbers.
+"""The write-ahead log of attempts: events of many tasks in one change of the state service.
+
+The budget of the state service counts changes, not bytes. So task events are not written to one
+record per job. Events of all jobs are appended to the current segment of a log, which costs one
+change per commit for as many tasks as fit one value. Pages of jobs (`jobs.Page`) are checkpoints,
+written only when a segment has to be reused while its job still runs; most jobs end before that.
+
+A segment can be reused once none of its entries is needed: each of its jobs is over, or each page
+that it refers to has been written since. Old content may be read until it is overwritten, and is
+recognised by its log sequence numbers.
 """
 
 from collections import deque
@@ -23,17 +21,17 @@
 from chalkgrade.outside import encode
 
 LOG_PREFIX = "cg/log/"
-# What an attempt's end was: the task is done, or waits again, in the last case since it failed.
+# How an attempt ended: the task is done, or it waits again after an interruption or a failure.
 DONE, INTERRUPTED, FAILED = 1, 0, 2
 
 PageName = tuple[str, int]  # job, number of the page
 SEGMENT_FRAME_B = (
     len(b'{"e":[]}') - 1
-)  # of a segment's value beside its entries and a comma after each
+)  # bytes of a segment's value beside its entries and one comma each
 
 
 class Op(NamedTuple):
-    """An attempt is decided (`what`: its machine) or over (`DONE`, `OVER`, `FAILED`)."""
+    """An attempt was placed (`event`: its machine) or ended (`DONE`, `INTERRUPTED`, `FAILED`)."""
 
     job: str
     task: int
@@ -42,7 +40,7 @@
 
 
 class Entry(msgspec.Struct, array_like=True):
-    """What one commit added, grouped by job: `[index, try, what]` in order."""
+    """The operations that one commit added, by job: `[task, try, event]` in order."""
 
     lsn: int
     jobs: list[tuple[str, list[tuple[int, int, str | int]]]]
@@ -51,72 +49,74 @@
 class SegmentValue(msgspec.Struct):
     """The value under cg/log/."""
 
-    e: list[Entry] = []
+    e: list[Entry] = []  # entries, the oldest first
 
 
 @dataclass(eq=False)
 class Segment:
-    """One key of the log, as the leader knows it."""
+    """One key of the log, as known to the leader."""
 
     key: str
     stamp: int = 0
     needed_pages: set[PageName] = field(
         default_factory=set
-    )  # pages whose latest is only in the log
+    )  # pages with operations that only the log has
     entries: list[bytes] = field(default_factory=list)
     size: int = 0
 
 
 @dataclass
 class SegmentAppend:
-    """What one commit adds to one segment."""
+    """The entry that one commit adds to one segment."""
 
     segment: Segment
-    overwrites: bool  # the segment begins anew
+    overwrites: bool  # the entry replaces the segment's old content
     entry: bytes
     lsn: int
     page_names: set[PageName]
 
     @property
     def value(self) -> msgspec.Raw:
+        """The segment's encoded value after this append."""
         entries = [self.entry] if self.overwrites else [*self.segment.entries, self.entry]
         return msgspec.Raw(b'{"e":[' + b",".join(entries) + b"]}")
 
 
 @dataclass
 class LogFlush:
-    """What one commit adds to the log: where values are small, to several segments."""
+    """What one commit adds to the log; to several segments where the value limit is small."""
 
     appends: list[SegmentAppend]
-    count: int  # pending operations that it holds, the first ones
+    count: int  # how many of the first pending operations it contains
 
     @property
     def lsn(self) -> int:
+        """The log sequence number of its last entry."""
         return self.appends[-1].lsn
 
 
 class OpLog:
-    """The leader's side of the log: what is pending, durable, and still needed."""
+    """The leader's view of the log: which operations are pending, durable, and still needed."""
 
     def __init__(self, value_b: int) -> None:
-        """`value_b`: bytes that a segment may take."""
+        """Create an empty log; a segment's value may take `value_b` bytes."""
         self._segment_max_b = value_b
         self._segments_kept = max(
             constants.SEGMENTS_KEPT, constants.SEGMENTS_KEPT_B // max(1, value_b)
         )
         self.pending: deque[Op] = deque()
-        self.appended_count = 0  # operations so far; an operation's number is this after it
-        self.durable_count = 0  # operations that are surely kept
+        self.appended_count = 0  # operations so far; an operation's number is the count after it
+        self.durable_count = 0  # operations that are known to be durable
         self.undurable_ends: dict[
             tuple[str, int], int
-        ] = {}  # (task, try) over, until that is durable
+        ] = {}  # ended (task, try) -> operation, until durable
         self.lsn = 0
         self.segments: dict[str, Segment] = {}  # in use, the oldest first
         self.free: list[Segment] = []
         self._current: Segment | None = None
 
     def add(self, op: Op) -> int:
-        """Append an operation; its number tells when it is durable."""
+        """Append an operation; it is durable once `durable_count` reaches the returned number."""
         self.pending.append(op)
         self.appended_count += 1
         if isinstance(op.event, int):
@@ -124,18 +124,18 @@
         return self.appended_count
 
     def next_flush(self, most: int = 1) -> LogFlush | None:
-        """The next commit's part: as many pending operations as fit so many values."""
+        """Return the next commit's append: as many pending operations as fit `most` values."""
         if not self.pending:
             return None
         return self._flush(self.pending, most, self._current)
 
     def reappend(self, ops: Sequence[Op]) -> LogFlush:
-        """Operations that are known already, once more: all of them, in segments of their own."""
+        """Return a flush that writes known operations again, all of them and in other segments."""
         flush = self._flush(ops, len(ops), None)
         return LogFlush(flush.appends, 0)
 
     def _flush(self, ops: Sequence[Op], most: int, current: Segment | None) -> LogFlush:
-        """The first of these operations, laid into one entry a segment."""
+        """Encode the first of these operations, as one entry per segment."""
         pieces: list[SegmentAppend] = []
         free, made = list(self.free), 0
         count, lsn = 0, self.lsn
@@ -157,9 +157,9 @@
                 op = next(waiting, None)
             lsn += 1
             entry = encode(Entry(lsn, list(grouped.items())))
-            # Of the value as it is written: one that is longer by its frame alone is never
-            # written, nor is anything after it (found on the bench, once in eight days with
-            # late transactions: a backlog is cut to the same entry at every try).
+            # The size of the whole value as it is written counts, with its frame. A value that
+            # exceeds the limit by the frame alone is refused, and nothing after it can be written
+            # either, since a backlog is cut to the same entry at every attempt.
             fresh = (
                 current is None
                 or SEGMENT_FRAME_B + current.size + len(entry) + 1 > self._segment_max_b
@@ -179,7 +179,7 @@
         return f"{LOG_PREFIX}{len(self.segments) + len(self.free) + more:06d}"
 
     def mark_saved(self, flush: LogFlush, revision: int) -> None:
-        """A commit's part is durable."""
+        """Note that a flush was committed at a revision."""
         for piece in flush.appends:
             self._saved(piece, revision)
         for _ in range(flush.count):
@@ -203,13 +203,13 @@
         segment.entries.append(piece.entry)
         segment.size += len(piece.entry) + 1
         if segment.size > self._segment_max_b * constants.SEGMENT_PART:
-            segment.entries.clear()  # full enough: never written again with this content
+            segment.entries.clear()  # full enough: no more entries are appended
             self._current = None
         segment.needed_pages |= piece.page_names
         self.lsn = piece.lsn
 
     def release_pages(self, pages: set[PageName]) -> None:
-        """These pages need nothing from the log any more: written, or their job is over."""
+        """Note that these pages no longer need the log: they were written or their job is over."""
         for segment in list(self.segments.values()):
             segment.needed_pages -= pages
             if not segment.needed_pages and segment is not self._current:
@@ -217,13 +217,13 @@
                 self.free.append(segment)
 
     def stale_pages(self) -> Iterator[PageName]:
-        """The pages to be written so that the oldest segments can be used again."""
+        """Yield the pages to be written so that the oldest segments can be reused."""
         over = len(self.segments) - self._segments_kept
         for segment in list(self.segments.values())[: max(0, over)]:
             yield from sorted(segment.needed_pages)
 
     def load(self, rows: list[tuple[str, int, SegmentValue]]) -> list[tuple[int, Segment, Entry]]:
-        """Take over the segments of earlier leaders; all entries in their order."""
+        """Restore the segments of earlier leaders; returns all entries in log order."""
         found: list[tuple[int, Segment, Entry]] = []
         first: dict[str, int] = {}
         made: dict[str, Segment] = {}
--- a/src/chalkgrade/record/registry.py
+++ b/src/chalkgrade/record/registry.py
@@ -1,7 +1,7 @@
-"""The leader's book: jobs, and what of them is to be made durable.
+"""The leader's registry of unfinished jobs, and the changes that have to be made durable.
 
-What is wanted is worked out from memory each time it is asked for (`Book.wanted`);
-`writer` makes it so.
+The pending changes are derived from memory each time they are asked for
+(`JobRegistry.pending_changes`); `writer` commits them.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 
 class JobRegistry:
-    """All jobs that are not over, under one token."""
+    """All unfinished jobs, during the term of one leader token."""
 
     def __init__(
         self,
@@ -54,41 +54,44 @@
         remember: Callable[[str, str, int], object],
         on_job: Callable[[Job, bool], None],
     ) -> None:
+        """Create an empty registry.
+
+        `remember` is called with the name, final status and number of done tasks of each job that
+        ended; `on_job` with each job that was added, and whether it was submitted just now.
+        """
         self.office = office
         self.ledger = office.ledger
         self.clock = office.clock
         self.limits = office.ledger.limits
-        self.persisted_values: list[
-            PersistedValue
-        ] = []  # subsystems' own values, in the order in which they are read
-        self.remember_final_state = remember  # tells the intake about final states
-        self.on_job_added = on_job  # a job is known now; whether it was submitted just now
+        self.persisted_values: list[PersistedValue] = []  # subsystems' values, in loading order
+        self.remember_final_state = remember  # reports final states to the job API
+        self.on_job_added = on_job  # called with each added job; True: just submitted
         self.jobs: dict[str, Job] = {}
         self.recent_ends = RecentEnds()
-        # Told of jobs that are durably over, or durably aborted, so that others follow.
+        # Callbacks for jobs whose end or abort is durable.
         self.on_job_ended: Callable[[Job, str], None] = lambda job, status: None
         self.on_job_aborted: Callable[[Job], None] = lambda job: None
         self.oplog = OpLog(self.limits.value_b)
         self.revision = 0
         self.flush_wanted = asyncio.Event()
         self.committed = Signal()
-        self.orphan_keys: list[str] = []  # pages whose job is over, to be removed
-        # machine -> images it was given work for, with their sizes: a hint for a new leader,
-        # who else would send work to fetch anew what is there.
+        self.orphan_keys: list[str] = []  # pages and list parts of ended jobs, to be removed
+        # machine -> images of the work it was assigned, with sizes in GB: a hint for a new leader,
+        # which would otherwise place work where the images have to be fetched again.
         self.image_hints: dict[str, dict[str, float]] = {}
         self.batches: dict[str, Batch] = {}
         self.batch_number = 0
         self.admissions: dict[str, Admission] = {}
         self.admit_wanted = asyncio.Event()
-        self.ending: dict[Job, None] = {}  # jobs that are over, until that is durable
-        self.aborting: list[Job] = []  # in the order in which their users asked
+        self.ending: dict[Job, None] = {}  # jobs that are over, until their end is durable
+        self.aborting: list[Job] = []  # jobs to be aborted, in the order of the requests
 
     # -- reading ------------------------------------------------------------------
 
     async def load(self) -> list[Attempt]:
-        """Read the whole book; the attempts that may be present.
+        """Read the whole record; returns the attempts that may be present on machines.
 
-        Nobody else can change it: older leaders are fenced.
+        No other leader can change the record meanwhile: older tokens are fenced.
         """
         self.jobs.clear()
         self.aborting.clear()
@@ -133,7 +136,7 @@
                 for _, _, what in ops:
                     if isinstance(what, str):
                         self.image_hints.setdefault(what, {})[job.spec.bundle] = job.spec.pullGb
-        # A page can be ahead of all segments that are left.
+        # A page can be newer than all remaining segments.
         pages = [page for job in self.jobs.values() for page in job.pages.values()]
         self.oplog.lsn = max([self.oplog.lsn, *(page.durable_lsn for page in pages)])
         self.oplog.release_pages(set())
@@ -146,15 +149,15 @@
         value = msgspec.json.decode(raw, type=JobValue)
         if (
             value.spec.nameId not in self.recent_ends
-        ):  # else a list kept apart may be removed already
+        ):  # otherwise its dependency list may be removed already
             self.add(
                 await dependency_lists.with_dependencies(self.ledger, value), stamp, observe=observe
             )
 
     async def _ended_jobs_in(self, batch: Batch, stored_b: int) -> set[str]:
-        """Which of a batch's jobs are over, though it still holds their records.
+        """Return the jobs that are over although the batch still holds their records.
 
-        Only one that was too large to be rewritten does: see `_end`.
+        That occurs only in a batch that was too large to be rewritten: see `_end_change`.
         """
         if stored_b <= self.limits.value_b:
             return set()
@@ -162,14 +165,18 @@
         return {key.removeprefix(END_PREFIX) for key in found}
 
     def add(self, value: JobValue, stamp: int, observe: bool, batch: Batch | None = None) -> None:
-        """A job that some node has accepted."""
+        """Add a job that some node has accepted, or update the one that is known.
+
+        `stamp` is the revision of the job's own record, 0 if it has none; `batch` is the batch
+        that holds the record; `observe` is True for a job that was submitted just now.
+        """
         name = value.spec.nameId
         if name in self.recent_ends:
             return
         job = self.jobs.get(name)
         if job is not None:
-            # Only the leader changes a job after its submission; but another node,
-            # out of our sight, may have accepted a repeated one under its own key.
+            # Only the leader changes a job after its submission, but another node may have
+            # accepted a repeated submission under a key of its own without our knowledge.
             job.stamp = max(job.stamp, stamp)
             job.batch = job.batch or batch
             job.aborted = job.aborted or value.aborted
@@ -177,12 +184,12 @@
             return
         job = self.jobs[name] = Job(value, stamp, self.oplog, batch)
         if job.in_pipeline:
-            job.block()  # until it is known that all that it waits for is done
+            job.block()  # until all its dependencies are known to be done
         log.debug("job %s: %d tasks", name, job.spec.tasks, extra=about(self.office.token, name))
         self.on_job_added(job, observe)
 
     async def watch_submissions(self) -> None:
-        """Learn of submissions, which any node commits."""
+        """Follow the submissions that other nodes commit; runs until cancelled."""
         while True:
             try:
                 changes = await self.ledger.changes(
@@ -194,7 +201,7 @@
             except Compacted:
                 self.revision = 0
             except (NoAnswer, NotExecuted) as error:
-                log.debug("watch: %s", error)
+                log.debug("submission watch failed: %s", error)
                 await asyncio.sleep(constants.STATE_PAUSE_S)
                 continue
             else:
@@ -211,14 +218,15 @@
     # -- writing ------------------------------------------------------------------
 
     async def admit(self, value: JobValue, timeout: float) -> bool:
-        """Make a submission durable with others, in one change for all of them.
+        """Make a submission durable, together with others in one change.
 
-        True only for whoever brought it, and made it: nobody was told of the job before. Else
-        it is known: what is true of it is to be asked. NoAnswer leaves open whether it is.
+        Returns True only to the caller whose submission created the job, so that no user was told
+        of it before. False means that the job was known already and its status must be looked
+        up. Raises NoAnswer after `timeout` seconds; the job may then be accepted or not.
         """
         name = value.spec.nameId
         if name in self.jobs or name in self.recent_ends:
-            return False  # also one whose commit here is open: known by a record of its own
+            return False  # includes one with an open commit here and a record of its own
         known = admission = self.admissions.get(name)
         if admission is None:
             future = asyncio.get_running_loop().create_future()
@@ -232,12 +240,13 @@
         return known is None and admission.result.result()
 
     def abort(self, job: Job) -> None:
-        """Have a job's abort written; nothing of it is started from now on, what runs is stopped.
+        """Request the abort of a job; from now on none of its tasks is started and all are killed.
 
-        Not only once it is durable: a commit whose answer is lost may have been executed, and
-        others tell users what they read. Whoever loses the state service just then keeps the
-        workers for a while, and counts that from its lease, which may last seconds beyond such
-        a commit (found by thinking the gap through; nothing of the job is of use any more).
+        This does not wait until the abort is durable. A commit whose answer is lost may have been
+        executed, and other nodes report to users what they read. A leader that loses the state
+        service at that moment keeps its workers for a while, counted from its lease, which may
+        last seconds longer than such a commit: tasks would run on after users were told of the
+        cancellation. Killing them early loses nothing, as no result of the job is of use any more.
         """
         if not (job.aborted or job.aborting or job.is_complete):
             job.aborting = True
@@ -247,19 +256,20 @@
         self.flush_wanted.set()
 
     def update_ending(self, job: Job) -> None:
-        """An attempt of it ended, or it was aborted: it may be over."""
+        """Queue the job's end if it is over; called after an attempt's end or the job's abort."""
         if job.is_over:
             self.ending[job] = None
         self.flush_wanted.set()
 
     def next_admission_change(self) -> RecordChange | None:
-        """The next submissions, as many as one batch and one commit can take.
+        """Return a change with as many pending submissions as fit one batch and one commit.
 
-        They, and their batch, are in no other commit until this one is over.
+        Neither they nor their batch are part of another commit until this one has ended. Returns
+        None if no submission is pending.
         """
         limit = self.limits.value_b
         waiting = [admission for admission in self.admissions.values() if not admission.sent]
-        # Each is conditioned on two keys, beside the batch's and the leader's.
+        # Each submission needs two conditions, in addition to the batch's and the leader's.
         chosen = waiting[: min(self.limits.txn_ops, (self.limits.conditions - 2) // 2)]
         if not chosen:
             return None
@@ -294,45 +304,47 @@
             self.add(admission.value, 0, observe=True, batch=batch)
 
     def resolve_admission(self, admission: Admission, accepted: bool) -> None:
+        """Finish a submission; `accepted` is False if a node had accepted the job before."""
         self.admissions.pop(admission.value.spec.nameId, None)
         if not admission.result.done():
             admission.result.set_result(accepted)
 
     def pending_changes(self) -> Iterator[RecordChange]:
-        """All that is to be written, in order of urgency."""
+        """Yield all changes that have to be written, the most urgent first."""
         at_hand = min(self.limits.txn_ops - constants.END_OPS, int(self.ledger.writes.level()))
-        # A commit as a whole is bounded as well: of large values it holds few.
+        # The total size of a commit is limited as well: only a few large values fit.
         fit = constants.COMMIT_MAX_B // 2 // self.limits.value_b
         flush = self.oplog.next_flush(max(1, min(at_hand, fit)))
         if flush is not None:
-            # Attempts and outcomes of all jobs: machines wait for the first, room for the second.
+            # Attempts and their outcomes, of all jobs: machines wait for launches, and resources
+            # become free with outcomes.
             yield RecordChange(partial(self.oplog.mark_saved, flush), _log_writes(flush))
-        # A user who aborts wants it stopped now, whatever else is to be written.
+        # An abort should take effect immediately, so it precedes all other changes.
         for job in self.aborting:
             if not job.is_over:
                 yield self._abort_change(job)
         for job in group_by_batch(self.ending):
             if job.name in self.admissions:
-                # Another node accepted it too, and our own commit of it is under way: ended
-                # before that is known, it would stay in the batch (found on a seeded day,
-                # where it was cancelled at once with a job before it).
+                # Another node accepted the job too, and our own commit of it is in progress. If
+                # the end were written before the outcome is known, the record would stay in the
+                # batch. This happens when a job is cancelled right after its submission.
                 continue
             if job.is_over and job.name in self.jobs:
                 yield self._end_change(job)
             else:
                 del self.ending[job]
         if flush is None or flush.count == len(self.oplog.pending):
-            # Memory is now just what the log says, so that pages can stand for it.
+            # Memory now equals the content of the log, so pages can replace log entries.
             lsn, carried = self.oplog.lsn if flush is None else flush.lsn, False
             for name, number in list(dict.fromkeys(self.oplog.stale_pages())):
                 owner = self.jobs.get(name)
                 if owner is None:
-                    # Its last operations were written after its end, since more were
-                    # pending than one value holds: nothing is needed of them.
+                    # The job's last operations were written after its end, because more were
+                    # pending than one value holds. They are not needed.
                     self.oplog.release_pages({(name, number)})
                     continue
                 if owner.is_over:
-                    continue  # its end makes the page needless
+                    continue  # its end makes the page unnecessary
                 page = owner.pages[number]
                 value = encode_raw(owner.checkpoint(number, lsn))
                 if len(value) <= self.limits.value_b:
@@ -342,7 +354,7 @@
                         saved, [write], absent_keys=self._end_keys_to_be_absent(owner, page.stamp)
                     )
                 elif flush is None and not carried:
-                    carried = True  # its segments are those that another one would take
+                    carried = True  # another one would use the same segments
                     yield self._checkpoint_with_log(owner, number, lsn)
         for kept in self.persisted_values:
             if kept.is_dirty:
@@ -350,7 +362,7 @@
                 if len(value) > self.limits.value_b:
                     if kept.version != kept.warned_version:
                         kept.warned_version = kept.version
-                        log.warning("%s takes %d bytes: too many", kept.key, len(value))
+                        log.warning("value too long: %s takes %d bytes", kept.key, len(value))
                     continue
                 yield RecordChange(
                     partial(kept.mark_saved, kept.version), [KeyWrite(kept.key, kept.stamp, value)]
@@ -364,17 +376,17 @@
             yield RecordChange(partial(self._orphan_removed, key), [KeyWrite(key, -1, None)])
 
     def _can_rewrite(self, batch: Batch, edits: dict[str, bytes | None]) -> bool:
-        """Whether a batch may be written with these changes.
+        """Whether a batch may be written with these edits.
 
-        One that the limits of before allowed may be too large for those of now.
+        A batch written under earlier limits may be too large for the current ones.
         """
         return batch.size <= self.limits.value_b or batch.size_after(edits) <= self.limits.rewrite_b
 
     def _end_change(self, job: Job) -> RecordChange:
-        """A job moves from where its record is to its final key.
+        """Return the change that moves a job from its record to its final key.
 
-        Where its batch can't be rewritten, the final key alone says that it is over: readers
-        of a batch of that size look for it.
+        If its batch can't be rewritten, only the final key shows that the job is over. Readers
+        of a batch above the size limit look for final keys.
         """
         status = "withdrawn" if job.aborted else "done"
         value = {"status": status, "tasks": job.done, "at": round(self.clock.wall(), 3)}
@@ -387,7 +399,7 @@
             self.jobs.pop(job.name, None)
             self.ending.pop(job, None)
             if job in self.aborting:
-                self.aborting.remove(job)  # it was done before the abort was written
+                self.aborting.remove(job)  # completed before the abort was written
             if batch is not None and stays:
                 batch.ended_jobs.add(job.name)
             self.recent_ends[job.name] = status
@@ -395,7 +407,9 @@
             self.orphan_keys += [page.key for page in job.pages.values() if page.stamp]
             self.orphan_keys += dependency_lists.part_keys(job.name, job.stored_dependencies)
             self.oplog.release_pages({(job.name, number) for number in job.pages})
-            log.info("job %s: %s", job.name, status, extra=about(self.office.token, job.name))
+            log.info(
+                "job ended: %s: %s", job.name, status, extra=about(self.office.token, job.name)
+            )
             self.on_job_ended(job, status)
 
         change = RecordChange(ended, [end])
@@ -408,11 +422,13 @@
         return change
 
     def _abort_change(self, job: Job) -> RecordChange:
+        """Return the change that marks a job's record as aborted."""
         record = job.value
         record.aborted = True
         value = dependency_lists.encode_record(record)
         batch = job.batch
-        # Beside a batch that can't be rewritten, a record of its own says so: either may.
+        # If the batch can't be rewritten, the job gets a record of its own that says so.
+        # Readers accept an abort from either record.
         own = batch is None or not self._can_rewrite(batch, {job.name: value})
 
         def aborted(revision: int) -> None:
@@ -422,7 +438,7 @@
                 job.stamp = revision
             self.update_ending(job)
             log.info(
-                "job %s: aborted with %d live attempts",
+                "job aborted: %s with %d live attempts",
                 job.name,
                 len(job.live),
                 extra=about(self.office.token, job.name),
@@ -437,27 +453,27 @@
         )
 
     def _end_keys_to_be_absent(self, job: Job, stamp: int) -> list[str]:
-        """What must be absent where a key of a job is made anew: its end.
+        """Return the keys that must be absent when a key of a job is created: the job's end.
 
-        Else a late copy of that commit makes the key again when the job is over: the record of
-        an aborted one would then end the lead of every leader that meets it (found in the
-        table of conditions, `record/commit_conditions.py`).
+        Without this condition a copy of the commit that is executed late creates the key again
+        after the job is over. Every leader that met the record of such an aborted job would step
+        down (see the table in `record/commit_conditions.py`).
         """
         return [] if stamp else [END_PREFIX + job.name]
 
     def _shrink_batch(self, batch: Batch) -> RecordChange | None:
-        """Make a batch that is larger than new ones smaller, before it can't be any more.
+        """Return a change that reduces a batch above the size limit, while that is still possible.
 
-        What is left of it fits: it is written so. Else the first of its jobs move to batches of
-        their own in one commit, if the rest may be rewritten: while the limits have not fallen,
-        or if it fits the lesser ones. Their keys come
-        right after its own, so that a reader who goes from key to key meets a job in one of
-        them, whenever it is moved.
+        If the remaining records fit the limit, the batch is rewritten with them. Otherwise its
+        first jobs move to new batches in one commit, provided that the rest may be rewritten:
+        either the limits have not been reduced yet, or the rest fits the reduced ones. The keys
+        of the new batches sort directly after the old key, so that a reader that scans keys in
+        order finds each job in one of them, whenever it is moved.
         """
         if batch.size_after({}) <= self.limits.value_b:
             return RecordChange(lambda revision: None, batch=batch)
         if any(job.batch is batch for job in (*self.ending, *self.aborting)):
-            return None  # what changes in the same commit must not be moved as it was
+            return None  # a record that the same commit changes must not be moved in its old state
         made: list[Batch] = []
         values = batch.records_after({})
         left = list(values)
@@ -489,7 +505,7 @@
         return RecordChange(moved, writes, batch=batch, edits=edits)
 
     def _checkpoint_with_log(self, job: Job, number: int, lsn: int) -> RecordChange:
-        """Checkpoint a page that is too long for one value, in one commit with its rest."""
+        """Return a checkpoint of a page too long for one value; the rest goes to the log."""
         page, name = job.pages[number], (job.name, number)
         value, ops = job.split_checkpoint(number, lsn, self.limits.value_b)
         flush = self.oplog.reappend(ops)
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -1,7 +1,7 @@
-"""Working off what the book wants written, in as few commits as the budget allows.
+"""The loops that commit the registry's pending changes, in as few commits as the budget allows.
 
-Each commit is fenced by the token and conditioned on the last known revision of
-every key that it writes, so that none can be applied late.
+Each commit is fenced by the leader token and conditioned on the last known revision of every key
+that it writes, so that a copy that arrives late can't be applied.
 """
 
 import asyncio
@@ -27,51 +27,49 @@
 
 
 class Writer:
-    """Memory runs ahead of the state service; this is the loop that closes the gap."""
+    """Commits the changes by which the leader's memory is ahead of the state service."""
 
     def __init__(self, office: Office, book: JobRegistry) -> None:
         self.admitted_at = -1e9  # when the last commit of submissions was sent
         self.office = office
         self.registry = book
         self.ledger = office.ledger
-        self.in_flight = InFlightCommits()  # of the commits that are under way
-        self.progress_count = (
-            0  # how often the main lane had nothing left to write, or wrote something
-        )
+        self.in_flight = InFlightCommits()  # the commits in progress
+        self.progress_count = 0  # commits of the main lane, and times that it became idle
         self.is_idle = True  # the main lane has nothing to write
-        self.unwritable_sizes: dict[
-            str, int
-        ] = {}  # key -> bytes of a value that no commit can hold
+        self.unwritable_sizes: dict[str, int] = {}  # key -> bytes of a value over the size limit
 
     def collect_changes(self) -> tuple[list[RecordChange], Edits]:
-        """The next commit's changes: as many as a commit may hold and the budget has now."""
+        """Select the changes of the next commit, within its limits and the current budget."""
         limits = self.ledger.limits
-        most = min(limits.txn_ops, max(constants.END_OPS, int(self.ledger.writes.level())))
-        room = constants.COMMIT_MAX_B - constants.VALUE_SPARE_B
-        conditions = limits.conditions - most - 1
+        ops_left = min(limits.txn_ops, max(constants.END_OPS, int(self.ledger.writes.level())))
+        bytes_left = constants.COMMIT_MAX_B - constants.VALUE_SPARE_B
+        conditions_left = limits.conditions - ops_left - 1
         out: list[RecordChange] = []
         edits: Edits = {}
-        missed = 0
+        skipped = 0
         for change in self.registry.pending_changes():
             if change.batch is not None and change.batch.has_open_commit:
-                continue  # its records change right now: once that is durable
+                continue  # a commit of this batch is in progress: wait for it
             if self._exceeds_limit(change):
-                continue  # it would be refused, now and for ever: a record made under others
-            new = change.batch is not None and change.batch not in edits
-            writes = len(change.writes) + new
+                continue  # a value over the limit would always be rejected
+            adds_batch = change.batch is not None and change.batch not in edits
+            op_count = len(change.writes) + adds_batch
             size = sum(write.size for write in change.writes)
             size += sum(len(value or b"") + 80 for value in change.edits.values())
-            if new and change.batch is not None:
+            if adds_batch and change.batch is not None:
                 size += change.batch.size + 120
-            if writes > most or (out and (size > room or len(change.absent_keys) > conditions)):
-                missed += 1
-                if missed > constants.MISSES:
+            if op_count > ops_left or (
+                out and (size > bytes_left or len(change.absent_keys) > conditions_left)
+            ):
+                skipped += 1
+                if skipped > constants.MISSES:
                     break
-                continue  # something smaller behind it may fit
-            most, room, conditions = (
-                most - writes,
-                room - size,
-                conditions - len(change.absent_keys),
+                continue  # a smaller change after it may fit
+            ops_left, bytes_left, conditions_left = (
+                ops_left - op_count,
+                bytes_left - size,
+                conditions_left - len(change.absent_keys),
             )
             out.append(change)
             if change.batch is not None:
@@ -79,7 +77,7 @@
         return out, edits
 
     def _exceeds_limit(self, change: RecordChange) -> bool:
-        """Whether a change has a value over the limit; said once for each value."""
+        """Whether a change has a value over the size limit; logged once for each value."""
         most = self.ledger.limits.rewrite_b
         refused = False
         for write in change.writes:
@@ -91,7 +89,7 @@
             if self.unwritable_sizes.get(write.key) != size:
                 self.unwritable_sizes[write.key] = size
                 log.warning(
-                    "%s can't be written: %d bytes of %d; %d operations of the log wait",
+                    "value can't be written: %s takes %d bytes of %d; %d log operations wait",
                     write.key,
                     size,
                     most,
@@ -100,10 +98,10 @@
         return refused
 
     def _progress_mark(self) -> tuple[str, int]:
-        """What changes as the main lane writes.
+        """Return a value that changes whenever the main lane makes progress.
 
-        While operations of the log wait it is the log itself: the starts and ends of tasks do not
-        become durable by other changes that are written beside them.
+        While log operations are pending only the log counts. Other changes that are written
+        meanwhile don't make the starts and ends of tasks durable.
         """
         attempts = self.registry.oplog
         if attempts.pending:
@@ -111,7 +109,7 @@
         return "lane", self.progress_count
 
     async def run_main_lane(self) -> None:
-        """Work off what is to be written, for ever."""
+        """Commit pending changes as they come up, until cancelled."""
         while True:
             await self.registry.flush_wanted.wait()
             self.is_idle = False
@@ -128,11 +126,11 @@
             self.progress_count += self.is_idle
 
     async def wait_for_stall(self) -> None:
-        """Return once the main lane has stood for long while this node surely led.
+        """Return once the main lane has made no progress for STALL_S while this node led.
 
-        Found on the bench: for seven minutes a leader placed work that was never written, with
-        machines idle, and nothing said so (a value of the log was too long, see `oplog`). Whatever
-        makes it stand, the next leader reads the record and goes on.
+        Without this check, one log value that was too long (see `oplog`) let a leader place work
+        for seven minutes that was never written, while machines were idle and nothing was logged.
+        Whatever the cause of a stall, the next leader reads the record and continues.
         """
         stood, seen = 0.0, self._progress_mark()
         while stood < constants.STALL_S:
@@ -140,15 +138,17 @@
             now = self._progress_mark()
             moved = self.is_idle or now != seen or not self.office.leadership.acting()
             stood, seen = 0.0 if moved else stood + constants.STALL_LOOK_S, now
-        log.error("nothing was written for %.0f s though there is much; stepping down", stood)
+        log.error(
+            "write stall: nothing committed for %.0f s with changes pending; stepping down", stood
+        )
 
     async def _wait_for_ends(self) -> None:
-        """Where changes are short, wait for as many as the ends that wait can share.
+        """Where the change budget is low, wait until one commit can hold all waiting ends.
 
-        An end alone takes its final key, its batch and often the log; many take one each and
-        the rest together. With as few as one end takes, a commit went out whenever they were
-        at hand, and what could be written was a third of what it might be (found in the region:
-        four small jobs a second were told done after a minute).
+        A single end takes three changes: its final key, its batch and often the log. Many ends
+        take one change each and share the others. If a commit were sent as soon as the budget
+        allows a single end, a third of the possible ends would be written: at four small jobs a
+        second, users were told that a job is done only a minute after its end.
         """
         writes, began = self.ledger.writes, self.office.clock.now()
         while self.office.clock.now() < began + constants.GATHER_S:
@@ -162,13 +162,14 @@
             await asyncio.sleep(constants.COALESCE_S)
 
     async def _wait_for_submissions(self) -> None:
-        """Where changes are short, submissions share them, and leave as many to the rest.
+        """Where the change budget is low, delay so that submissions share commits.
 
-        Each alone takes one, before any of several that ends need at once are at hand.
+        Half of the budget is left to other changes. Submissions need one change each, and would
+        otherwise take every change before the several that an end needs at once are available.
         """
         writes, now = self.ledger.writes, self.office.clock.now
         if writes.level() < constants.ALONE_PART * writes.burst:
-            await asyncio.sleep(constants.COALESCE_S)  # share a change with others
+            await asyncio.sleep(constants.COALESCE_S)  # let more submissions join
         while writes.level() < constants.ALONE_PART * writes.burst:
             left = self.admitted_at + 1 / (constants.ADMIT_PART * writes.rate) - now()
             if left <= 0:
@@ -176,11 +177,11 @@
             await asyncio.sleep(min(left, constants.COALESCE_S))
 
     async def run_admissions(self) -> None:
-        """Make submissions durable, for ever; several such loops run at once.
+        """Commit submissions until cancelled; several such loops run at once.
 
-        They share nothing with what else is written. Behind commits one after the
-        other, each submission would wait for the slowest of them: where the state
-        service takes 75 ms, and now and then two seconds, most waited too long.
+        They are independent of the main lane. In one sequence of commits each submission would
+        wait for the slowest commit before it: with a state service that takes 75 ms and
+        occasionally two seconds, most submissions would wait too long.
         """
         while True:
             await self.registry.admit_wanted.wait()
@@ -192,11 +193,11 @@
             self.admitted_at = self.office.clock.now()
             await self._write([change], {change.batch: change.edits})
             for admission in change.admissions:
-                admission.sent = False  # those that are still wanted: others were known
+                admission.sent = False  # retry those left; others are resolved
             self.registry.admit_wanted.set()
 
     async def _write(self, changes: list[RecordChange], edits: Edits) -> None:
-        """One commit, and what follows from it."""
+        """Commit changes and run their callbacks."""
         for batch in edits:
             batch.has_open_commit = True
         self.in_flight.begin(changes)
@@ -205,26 +206,26 @@
         finally:
             for batch in edits:
                 batch.has_open_commit = False
-        if revision:  # else some submissions were known: again without them
+        if revision:  # otherwise some submissions were known: retry without them
             for batch, edit in edits.items():
                 batch.mark_saved(edit, revision)
                 if not batch.records:
                     self.registry.batches.pop(batch.key, None)
             for change in changes:
                 change.on_durable(revision)
-        # In one step with what it changed: in between, an answer would be the old one. A term
-        # that ends within a commit leaves it open.
+        # Without a suspension point after the callbacks: a status read in between would be
+        # outdated. If the term ends during a commit, the commit stays registered as open.
         self.in_flight.resolve(changes)
         self.registry.committed.fire()
-        self.registry.flush_wanted.set()  # ends may have waited for a batch
+        self.registry.flush_wanted.set()  # ends may have waited for a batch in use
 
     async def _commit(self, changes: list[RecordChange], edits: Edits) -> int:
-        """Commit until it is known to be applied; any surprise ends the term.
+        """Repeat a commit until it is known to be applied; returns its revision.
 
-        Each key is conditioned on its last known revision, so a copy of this
-        commit that is applied late, after a newer one, fails. 0: nothing was
-        done, since submissions in it were accepted elsewhere before, or since the
-        limits have fallen and all is to be made anew within them.
+        Each key is conditioned on its last known revision, so a copy of this commit that is
+        executed after a newer one fails. Returns 0 if nothing was done, because other nodes had
+        accepted submissions in it before, or because the service's limits were reduced and the
+        changes must be made again within them. Any other conflict or rejection ends the term.
         """
         writes = [write for change in changes for write in change.writes]
         writes += [batch.key_write(edit) for batch, edit in edits.items()]
@@ -236,8 +237,8 @@
         ]
         unsure = False
         while True:
-            # After a long silence another may lead: the fence would refuse this, at the
-            # cost of changes that are the new leader's by now.
+            # After a long silence another node may lead. The fence would reject this commit, but
+            # it would use up changes of the budget that belongs to the new leader by then.
             while not self.office.leadership.acting():
                 await asyncio.sleep(constants.STATE_PAUSE_S)
             try:
@@ -254,8 +255,8 @@
             except Conflict as conflict:
                 unsure = unsure or conflict.unsure
                 if unsure and LEADER_KEY not in conflict.failed:
-                    # First of all whether another copy was applied: taken for refused, a
-                    # batch would stay in the record after its jobs' ends.
+                    # Check first whether another copy was applied. If an applied commit passed
+                    # for rejected, its batch would stay in the record after its jobs' ends.
                     revision = await self._applied_revision(writes)
                     if revision is None:
                         await asyncio.sleep(constants.STATE_PAUSE_S)
@@ -264,14 +265,14 @@
                         return revision
                 if await self._drop_known_submissions(changes, conflict.failed):
                     return 0
-                log.warning("%s; stepping down", conflict)
+                log.warning("commit conflict: %s; stepping down", conflict)
                 self.office.leadership.depose()
-                await asyncio.Event().wait()  # the term's tasks are cancelled now
+                await asyncio.Event().wait()  # the term's tasks are cancelled meanwhile
             except Rejected as error:
                 largest = max((len(w.value) for w in writes if w.value is not None), default=0)
                 if self.ledger.limits.refused(largest):
-                    # A copy of it that was lost may have been applied before they fell.
-                    log.warning("the state service's limits have fallen: %s", error)
+                    # A copy with a lost answer may have been applied before the reduction.
+                    log.warning("state service limits reduced: %s", error)
                     revision = await self._applied_revision(writes) if unsure else 0
                     while revision is None:
                         await asyncio.sleep(constants.STATE_PAUSE_S)
@@ -282,11 +283,11 @@
                 await asyncio.Event().wait()
 
     async def _drop_known_submissions(self, changes: list[RecordChange], failed: list[str]) -> bool:
-        """Whether a commit failed only for jobs that other nodes accepted too; it is made anew.
+        """Whether a commit failed only because other nodes had accepted the same jobs.
 
-        Submissions among them are taken out: they are known. A job that is over
-        and turns out to have a second record ends with both. No copy of the
-        commit can be applied later either: the keys stay, or turn into final ones.
+        Submissions of these jobs are resolved as known, and the commit is made again without
+        them. A job that is over and has a second record gets an end that removes both records.
+        No copy of the failed commit can be applied later: the keys stay or become final keys.
         """
         guards = {
             prefix + admission.value.spec.nameId: admission
@@ -305,7 +306,7 @@
             try:
                 row = await self.ledger.get(key)
             except (NoAnswer, NotExecuted):
-                continue  # met again by the next commit
+                continue  # the next commit fails on it again
             if row is not None:
                 self.registry.add(
                     msgspec.json.decode(row.v, type=JobValue), row.stamp, observe=False
@@ -313,18 +314,19 @@
         return True
 
     async def _applied_revision_or_zero(self, writes: list[KeyWrite]) -> int:
-        """As `_applied_at`, while the commit is under way: 0 where that is not known."""
+        """Return `_applied_revision`, or 0 where it is unknown, while a commit is in progress."""
         return await self._applied_revision(writes) or 0
 
     async def _applied_revision(self, writes: list[KeyWrite]) -> int | None:
-        """The revision at which a copy of a commit was applied, 0 if none was; None: unknown.
-
-        Nobody else writes these keys while the lead is ours, so that a new revision of one, or
-        its absence where there are removals only, is the copy's if the leader key is still ours
-        after it was read. Else it may be the next leader's: after a standstill here,
-        submissions of a batch that it has rewritten passed for accepted. Of a job's own key that
-        is made anew, which another node may make too, the value tells whose it is: its
-        submission passed for the cancellation that is written there (found by reading).
+        """Return the revision at which a copy of a commit was applied; 0: none was, None: unknown.
+
+        Only the leader writes these keys. So a new revision of a key, or its absence if the commit
+        has removals only, comes from a copy of the commit, provided that the leader key is still
+        ours when it is read afterwards. Otherwise it may come from the next leader: after a pause
+        of this process, submissions of a batch that the next leader had rewritten would pass for
+        accepted. A job's own key that is being created may be created by another node too, with
+        a submission of the same job. There the value decides; otherwise that submission would
+        pass for the cancellation that this commit writes.
         """
         kept = [w for w in writes if w.value is not None and w.stamp >= 0]
         write = min(kept or writes[:1], key=_may_be_written_elsewhere)
@@ -344,11 +346,11 @@
             return None
         if lead is None or lead.stamp != self.office.token:
             return None
-        return stamp or self.office.token  # of removals nothing keeps the revision
+        return stamp or self.office.token  # the revision of a removal is not stored anywhere
 
 
 def _may_be_written_elsewhere(write: KeyWrite) -> bool:
-    """Whether another node may make the same key: a job's own, by a repeated submission."""
+    """Whether another node may create this key: a job's own, by a repeated submission."""
     return write.key.startswith(JOB_PREFIX) and write.stamp == 0
 
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -130,7 +130,7 @@
 
     changes: list[RecordChange] = []
     office: Any = SimpleNamespace(ledger=Ledger, token=1)
-    book: Any = SimpleNamespace(wanted=lambda: changes, log=SimpleNamespace(pending=()))
+    book: Any = SimpleNamespace(pending_changes=lambda: changes, oplog=SimpleNamespace(pending=()))
     writer = Writer(office, book)
     changes.append(RecordChange(lambda revision: None, [KeyWrite("cg/a", 0, b"x" * 101)]))  # type: ignore[list-item]
     assert writer.collect_changes()[0] == [] and writer.unwritable_sizes == {"cg/a": 101}
