--- a/src/chalkgrade/record/commit_conditions.py
+++ b/src/chalkgrade/record/commit_conditions.py
@@ -47,39 +47,50 @@
 
 
 def missing_conditions(
-    conditions: Mapping[str, int], apply: Iterable[Mapping[str, Any]], held: Mapping[str, Any]
+    conditions: Mapping[str, int],
+    apply: Iterable[Mapping[str, Any]],
+    current_batches: Mapping[str, Any],
 ) -> list[str]:
     """Return the conditions that a commit must carry and does not, as texts.
 
-    `conditions` maps keys to expected revisions, `apply` are the operations, and `held` has the
-    current values of the batches that the commit names.
+    `conditions` maps keys to expected revisions, `apply` has the operations, and
+    `current_batches` the current values of the batches that the commit names.
     """
-    out: list[str] = []
-    token = conditions.get(LEADER_KEY, 0) > 0
+    missing: list[str] = []
+    has_token = conditions.get(LEADER_KEY, 0) > 0
     for op in apply:
         key = op.get("write") or op["remove"]
-        own, needs = key in conditions, list[tuple[bool, str]]()
-        made = "write" in op and conditions.get(key) == 0
-        unended = conditions.get(END_PREFIX + _job_name_of(key)) == 0
+        has_own_revision, requirements = key in conditions, list[tuple[bool, str]]()
+        creates_key = "write" in op and conditions.get(key) == 0
+        requires_no_end = conditions.get(END_PREFIX + _job_name_of(key)) == 0
         if key == LEADER_KEY or key.startswith(MEMBERS_PREFIX):
-            needs = [(own, "own revision"), (op.get("permit") is not None, "a lease")]
+            requirements = [
+                (has_own_revision, "own revision"),
+                (op.get("permit") is not None, "a lease"),
+            ]
         elif key.startswith(DEPENDENCIES_PREFIX):
-            needs = [(unended if "write" in op else token, "the job's end or the token")]
+            requirements = [
+                (requires_no_end if "write" in op else has_token, "the job's end or the token")
+            ]
         elif key.startswith(TASK_PREFIX) and "remove" in op:
-            needs = [(token, "token")]
-        elif key.startswith(JOB_PREFIX) and made:
-            needs = [(unended, "absence of the end")]
+            requirements = [(has_token, "token")]
+        elif key.startswith(JOB_PREFIX) and creates_key:
+            requirements = [(requires_no_end, "absence of the end")]
         else:
-            needs = [(own, "own revision"), (token, "token")]
+            requirements = [(has_own_revision, "own revision"), (has_token, "token")]
             if key.startswith(END_PREFIX):
-                needs.append((made, "absence of itself"))
-            elif key.startswith(TASK_PREFIX) and made:
-                needs.append((unended, "absence of the end"))
+                requirements.append((creates_key, "absence of itself"))
+            elif key.startswith(TASK_PREFIX) and creates_key:
+                requirements.append((requires_no_end, "absence of the end"))
             elif key.startswith(BATCH_PREFIX) and "write" in op:
-                before = set(_batch_job_names(held.get(key) or {"jobs": []}))
-                moved = {name for value in held.values() for name in _batch_job_names(value)}
-                for name in set(_batch_job_names(op["v"])) - before - moved:
-                    guarded = all(conditions.get(p + name) == 0 for p in (JOB_PREFIX, END_PREFIX))
-                    needs.append((guarded, f"absence of {name}"))
-        out += [f"{key}: {what}" for good, what in needs if not good]
-    return out
+                present = set(_batch_job_names(current_batches.get(key) or {"jobs": []}))
+                moved = {
+                    name for value in current_batches.values() for name in _batch_job_names(value)
+                }
+                for name in set(_batch_job_names(op["v"])) - present - moved:
+                    requires_absence = all(
+                        conditions.get(p + name) == 0 for p in (JOB_PREFIX, END_PREFIX)
+                    )
+                    requirements.append((requires_absence, f"absence of {name}"))
+        missing += [f"{key}: {requirement}" for is_met, requirement in requirements if not is_met]
+    return missing
--- a/src/chalkgrade/record/dependency_lists.py
+++ b/src/chalkgrade/record/dependency_lists.py
@@ -24,20 +24,20 @@
     return encode(JobValue(without_dependencies(value.spec), value.at, value.aborted, value.apart))
 
 
-def part_keys(name: str, where: tuple[str, int] | None) -> list[str]:
+def part_keys(name: str, stored: tuple[str, int] | None) -> list[str]:
     """Return the keys of a job's separately stored dependency list; empty if it has none."""
-    mark, count = where or ("", 0)
-    return [f"{DEPENDENCIES_PREFIX}{name}/{mark}-{number}" for number in range(count)]
+    checksum, count = stored or ("", 0)
+    return [f"{DEPENDENCIES_PREFIX}{name}/{checksum}-{number}" for number in range(count)]
 
 
-async def read_names(ledger: Ledger, name: str, where: tuple[str, int]) -> list[str]:
+async def read_names(ledger: Ledger, name: str, stored: tuple[str, int]) -> list[str]:
     """Read a separately stored dependency list; raises NoAnswer if a part can't be read."""
-    out: list[str] = []
-    for row in await asyncio.gather(*(ledger.get(key) for key in part_keys(name, where))):
+    names: list[str] = []
+    for row in await asyncio.gather(*(ledger.get(key) for key in part_keys(name, stored))):
         if row is None:
             raise NoAnswer("a part of a stored dependency list is missing")
-        out += msgspec.json.decode(row.v, type=list[str])
-    return out
+        names += msgspec.json.decode(row.v, type=list[str])
+    return names
 
 
 async def store_if_too_long(ledger: Ledger, value: JobValue) -> JobValue:
@@ -47,33 +47,37 @@
     Without the condition on the job's end, a copy of the commit that is executed late would leave
     parts behind that nobody removes (see `commit_conditions`).
     """
-    room = ledger.limits.value_b
-    if len(encode(value)) <= room - constants.RECORD_SPARE_B // 2:
+    max_value_b = ledger.limits.value_b
+    if len(encode(value)) <= max_value_b - constants.RECORD_SPARE_B // 2:
         return value
-    named = value.spec.waitsOn or []
+    names = value.spec.waitsOn or []
     parts: list[list[str]] = [[]]
     size = 0
-    for name in named:
-        if size + len(name) + 3 > room - 2:
+    for name in names:
+        if size + len(name) + 3 > max_value_b - 2:
             parts.append([])
             size = 0
         parts[-1].append(name)
         size += len(name) + 3
-    mark = f"{zlib.crc32(encode(named)):08x}"
-    made = JobValue(value.spec, value.at, value.aborted, (mark, len(parts)))
-    where = part_keys(value.spec.nameId, made.apart)
-    writes = [{"write": key, "v": part} for key, part in zip(where, parts, strict=True)]
+    checksum = f"{zlib.crc32(encode(names)):08x}"
+    stored_record = JobValue(value.spec, value.at, value.aborted, (checksum, len(parts)))
+    keys = part_keys(value.spec.nameId, stored_record.apart)
+    writes = [{"write": key, "v": part} for key, part in zip(keys, parts, strict=True)]
     # The total size of a commit is limited too, so only some values of maximum size fit in one.
-    most = max(1, min(ledger.limits.txn_ops, constants.COMMIT_MAX_B // (2 * room)))
-    for begin in range(0, len(writes), most):
-        await ledger.commit({END_PREFIX + value.spec.nameId: 0}, writes[begin : begin + most])
-    return made
+    parts_per_commit = max(
+        1, min(ledger.limits.txn_ops, constants.COMMIT_MAX_B // (2 * max_value_b))
+    )
+    for begin in range(0, len(writes), parts_per_commit):
+        await ledger.commit(
+            {END_PREFIX + value.spec.nameId: 0}, writes[begin : begin + parts_per_commit]
+        )
+    return stored_record
 
 
 async def with_dependencies(ledger: Ledger, value: JobValue) -> JobValue:
     """Return the record with its dependency list; raises NoAnswer if a part can't be read."""
     if value.apart is None or value.spec.waitsOn is not None:
         return value
-    found = await read_names(ledger, value.spec.nameId, value.apart)
-    spec = msgspec.structs.replace(value.spec, waitsOn=found)
+    names = await read_names(ledger, value.spec.nameId, value.apart)
+    spec = msgspec.structs.replace(value.spec, waitsOn=names)
     return JobValue(spec, value.at, value.aborted, value.apart)
--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -38,7 +38,7 @@
 
 
 class SubmissionTooLongError(SubmissionError):
-    """A submission is too long to be stored; under higher limits it may have been accepted before."""
+    """A submission is too long to be stored; under higher limits it may be accepted already."""
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -287,20 +287,20 @@
 
     def lowest(self, skip: set[int]) -> int | None:
         """Return the lowest waiting task that is not in `skip`, or None."""
-        passed = []
-        found = None
+        skipped = []
+        lowest = None
         while self._heap:
             index = self._heap[0]
             if index not in self._members:
                 heapq.heappop(self._heap)
             elif index in skip:
-                passed.append(heapq.heappop(self._heap))
+                skipped.append(heapq.heappop(self._heap))
             else:
-                found = index
+                lowest = index
                 break
-        for index in passed:
+        for index in skipped:
             heapq.heappush(self._heap, index)
-        return found
+        return lowest
 
 
 class Job:
@@ -398,22 +398,22 @@
 
     def replay(self, lsn: int, ops: list[tuple[int, int, str | int]]) -> set[int]:
         """Apply a log entry's operations; returns the numbers of the pages that they changed."""
-        told = set()
-        for index, number, what in ops:
+        changed_pages = set()
+        for index, number, event in ops:
             page = self.page_of(index)
             if lsn <= page.durable_lsn:
                 continue
-            told.add(index // constants.PAGE_TASKS)
-            if isinstance(what, str):
+            changed_pages.add(index // constants.PAGE_TASKS)
+            if isinstance(event, str):
                 page.next_try = max(page.next_try, number + 1)
-                self._add_live(page, Attempt(self, index, number, what, 0))
+                self._add_live(page, Attempt(self, index, number, event, 0))
                 continue
             attempt = page.live.get(index)
             if attempt is not None and attempt.number == number:
-                if what == FAILED:
+                if event == FAILED:
                     self.record_failure(attempt.index, attempt.machine)
-                self._remove_live(page, attempt, what == DONE)
-        return told
+                self._remove_live(page, attempt, event == DONE)
+        return changed_pages
 
     def checkpoint(self, number: int, upto: int) -> PageValue:
         """Return a page's checkpoint, which replaces the log up to the entry `upto`."""
--- a/src/chalkgrade/record/oplog.py
+++ b/src/chalkgrade/record/oplog.py
@@ -123,37 +123,37 @@
             self.undurable_ends[f"{op.job}/{op.task}", op.try_number] = self.appended_count
         return self.appended_count
 
-    def next_flush(self, most: int = 1) -> LogFlush | None:
+    def next_flush(self, max_segments: int = 1) -> LogFlush | None:
         """Return the next commit's append: as many pending operations as fit `most` values."""
         if not self.pending:
             return None
-        return self._flush(self.pending, most, self._current)
+        return self._flush(self.pending, max_segments, self._current)
 
     def reappend(self, ops: Sequence[Op]) -> LogFlush:
         """Return a flush that writes known operations again, all of them and in other segments."""
         flush = self._flush(ops, len(ops), None)
         return LogFlush(flush.appends, 0)
 
-    def _flush(self, ops: Sequence[Op], most: int, current: Segment | None) -> LogFlush:
+    def _flush(self, ops: Sequence[Op], max_segments: int, current: Segment | None) -> LogFlush:
         """Encode the first of these operations, as one entry per segment."""
-        pieces: list[SegmentAppend] = []
-        free, made = list(self.free), 0
+        appends: list[SegmentAppend] = []
+        free, new_segments = list(self.free), 0
         count, lsn = 0, self.lsn
         waiting = iter(ops)
         op = next(waiting, None)
-        while op is not None and len(pieces) < most:
+        while op is not None and len(appends) < max_segments:
             grouped: dict[str, list[tuple[int, int, str | int]]] = {}
             refs: set[PageName] = set()
             size = constants.CARRIED_BASE_B
             while op is not None:
-                cost = 10 + len(str(op.task)) + len(str(op.try_number)) + len(str(op.event))
+                op_size = 10 + len(str(op.task)) + len(str(op.try_number)) + len(str(op.event))
                 if op.job not in grouped:
-                    cost += len(op.job) + 8
-                if grouped and size + cost > self._segment_max_b:
+                    op_size += len(op.job) + 8
+                if grouped and size + op_size > self._segment_max_b:
                     break
                 grouped.setdefault(op.job, []).append((op.task, op.try_number, op.event))
                 refs.add((op.job, op.task // constants.PAGE_TASKS))
-                size, count = size + cost, count + 1
+                size, count = size + op_size, count + 1
                 op = next(waiting, None)
             lsn += 1
             entry = encode(Entry(lsn, list(grouped.items())))
@@ -167,21 +167,21 @@
             if fresh and free:
                 segment = free.pop()
             elif fresh:
-                segment, made = Segment(self._new_key(made)), made + 1
+                segment, new_segments = Segment(self._new_key(new_segments)), new_segments + 1
             else:
                 assert current is not None
                 segment = current
             current = None
-            pieces.append(SegmentAppend(segment, fresh, entry, lsn, refs))
-        return LogFlush(pieces, count)
+            appends.append(SegmentAppend(segment, fresh, entry, lsn, refs))
+        return LogFlush(appends, count)
 
-    def _new_key(self, more: int) -> str:
-        return f"{LOG_PREFIX}{len(self.segments) + len(self.free) + more:06d}"
+    def _new_key(self, offset: int) -> str:
+        return f"{LOG_PREFIX}{len(self.segments) + len(self.free) + offset:06d}"
 
     def mark_saved(self, flush: LogFlush, revision: int) -> None:
         """Note that a flush was committed at a revision."""
-        for piece in flush.appends:
-            self._saved(piece, revision)
+        for append in flush.appends:
+            self._saved(append, revision)
         for _ in range(flush.count):
             self.pending.popleft()
         self.durable_count += flush.count
@@ -190,9 +190,9 @@
                 break
             del self.undurable_ends[key]
 
-    def _saved(self, piece: SegmentAppend, revision: int) -> None:
-        segment = piece.segment
-        if piece.overwrites:
+    def _saved(self, append: SegmentAppend, revision: int) -> None:
+        segment = append.segment
+        if append.overwrites:
             if self._current is not None:
                 self._current.entries.clear()
             if segment in self.free:
@@ -200,13 +200,13 @@
             segment.entries, segment.size, segment.needed_pages = [], 0, set()
             self._current = self.segments[segment.key] = segment
         segment.stamp = revision
-        segment.entries.append(piece.entry)
-        segment.size += len(piece.entry) + 1
+        segment.entries.append(append.entry)
+        segment.size += len(append.entry) + 1
         if segment.size > self._segment_max_b * constants.SEGMENT_PART:
             segment.entries.clear()  # full enough: no more entries are appended
             self._current = None
-        segment.needed_pages |= piece.page_names
-        self.lsn = piece.lsn
+        segment.needed_pages |= append.page_names
+        self.lsn = append.lsn
 
     def release_pages(self, pages: set[PageName]) -> None:
         """Note that these pages no longer need the log: they were written or their job is over."""
@@ -218,20 +218,22 @@
 
     def stale_pages(self) -> Iterator[PageName]:
         """Yield the pages to be written so that the oldest segments can be reused."""
-        over = len(self.segments) - self._segments_kept
-        for segment in list(self.segments.values())[: max(0, over)]:
+        excess = len(self.segments) - self._segments_kept
+        for segment in list(self.segments.values())[: max(0, excess)]:
             yield from sorted(segment.needed_pages)
 
     def load(self, rows: list[tuple[str, int, SegmentValue]]) -> list[tuple[int, Segment, Entry]]:
         """Restore the segments of earlier leaders; returns all entries in log order."""
-        found: list[tuple[int, Segment, Entry]] = []
-        first: dict[str, int] = {}
-        made: dict[str, Segment] = {}
+        entries: list[tuple[int, Segment, Entry]] = []
+        first_lsns: dict[str, int] = {}
+        segments: dict[str, Segment] = {}
         for key, stamp, value in rows:
-            made[key] = Segment(key, stamp)
-            first[key] = min((entry.lsn for entry in value.e), default=0)
-            found += [(entry.lsn, made[key], entry) for entry in value.e]
-        self.segments = {key: made[key] for key in sorted(made, key=lambda k: first[k])}
-        found.sort(key=lambda row: row[0])
-        self.lsn = found[-1][0] if found else 0
-        return found
+            segments[key] = Segment(key, stamp)
+            first_lsns[key] = min((entry.lsn for entry in value.e), default=0)
+            entries += [(entry.lsn, segments[key], entry) for entry in value.e]
+        self.segments = {
+            key: segments[key] for key in sorted(segments, key=lambda k: first_lsns[k])
+        }
+        entries.sort(key=lambda row: row[0])
+        self.lsn = entries[-1][0] if entries else 0
+        return entries
--- a/src/chalkgrade/record/registry.py
+++ b/src/chalkgrade/record/registry.py
@@ -97,11 +97,13 @@
         self.aborting.clear()
         self.ending.clear()
         self.oplog = OpLog(self.limits.value_b)
-        found = await asyncio.gather(*(self.ledger.get(kept.key) for kept in self.persisted_values))
-        for kept, row in zip(self.persisted_values, found, strict=True):
+        persisted_rows = await asyncio.gather(
+            *(self.ledger.get(persisted.key) for persisted in self.persisted_values)
+        )
+        for persisted, row in zip(self.persisted_values, persisted_rows, strict=True):
             if row is not None:
-                kept.load(row.v)
-                kept.stamp = row.stamp
+                persisted.load(row.v)
+                persisted.stamp = row.stamp
         rows, self.revision = await self.ledger.scan(JOB_PREFIX)
         for row in rows:
             await self._load_record(row.v, row.stamp, observe=False)
@@ -133,9 +135,9 @@
                 if job is None:
                     continue
                 segment.needed_pages |= {(name, page) for page in job.replay(lsn, ops)}
-                for _, _, what in ops:
-                    if isinstance(what, str):
-                        self.image_hints.setdefault(what, {})[job.spec.bundle] = job.spec.pullGb
+                for _, _, event in ops:
+                    if isinstance(event, str):
+                        self.image_hints.setdefault(event, {})[job.spec.bundle] = job.spec.pullGb
         # A page can be newer than all remaining segments.
         pages = [page for job in self.jobs.values() for page in job.pages.values()]
         self.oplog.lsn = max([self.oplog.lsn, *(page.durable_lsn for page in pages)])
@@ -147,9 +149,8 @@
 
     async def _load_record(self, raw: bytes, stamp: int, observe: bool) -> None:
         value = msgspec.json.decode(raw, type=JobValue)
-        if (
-            value.spec.nameId not in self.recent_ends
-        ):  # otherwise its dependency list may be removed already
+        # The dependency list of a job that is over may be removed already.
+        if value.spec.nameId not in self.recent_ends:
             self.add(
                 await dependency_lists.with_dependencies(self.ledger, value), stamp, observe=observe
             )
@@ -227,7 +228,7 @@
         name = value.spec.nameId
         if name in self.jobs or name in self.recent_ends:
             return False  # includes one with an open commit here and a record of its own
-        known = admission = self.admissions.get(name)
+        earlier_admission = admission = self.admissions.get(name)
         if admission is None:
             future = asyncio.get_running_loop().create_future()
             admission = self.admissions[name] = Admission(
@@ -237,7 +238,7 @@
         done, _ = await asyncio.wait({admission.result}, timeout=timeout)
         if not done:
             raise NoAnswer("not durable in time")
-        return known is None and admission.result.result()
+        return earlier_admission is None and admission.result.result()
 
     def abort(self, job: Job) -> None:
         """Request the abort of a job; from now on none of its tasks is started and all are killed.
@@ -270,36 +271,37 @@
         limit = self.limits.value_b
         waiting = [admission for admission in self.admissions.values() if not admission.sent]
         # Each submission needs two conditions, in addition to the batch's and the leader's.
-        chosen = waiting[: min(self.limits.txn_ops, (self.limits.conditions - 2) // 2)]
-        if not chosen:
+        candidates = waiting[: min(self.limits.txn_ops, (self.limits.conditions - 2) // 2)]
+        if not candidates:
             return None
-        least = limit - len(chosen[0].raw)
+        max_batch_size = limit - len(candidates[0].raw)
         batch = next(
-            (b for b in self.batches.values() if not b.has_open_commit and b.size < least), None
+            (b for b in self.batches.values() if not b.has_open_commit and b.size < max_batch_size),
+            None,
         )
         if batch is None:
             self.batch_number += 1
             batch = Batch(f"{BATCH_PREFIX}{self.office.token}-{self.batch_number}")
         size = batch.size
-        taken: list[Admission] = []
-        for admission in chosen:
+        admitted: list[Admission] = []
+        for admission in candidates:
             size += len(admission.raw) + 1
-            if taken and size > limit:
+            if admitted and size > limit:
                 break
-            taken.append(admission)
+            admitted.append(admission)
             admission.sent = True
-        names = [admission.value.spec.nameId for admission in taken]
+        names = [admission.value.spec.nameId for admission in admitted]
         return RecordChange(
-            partial(self._admitted, batch, taken),
+            partial(self._admitted, batch, admitted),
             batch=batch,
-            edits={name: a.raw for name, a in zip(names, taken, strict=True)},
+            edits={name: a.raw for name, a in zip(names, admitted, strict=True)},
             absent_keys=[prefix + name for name in names for prefix in (JOB_PREFIX, END_PREFIX)],
-            admissions=taken,
+            admissions=admitted,
         )
 
-    def _admitted(self, batch: Batch, taken: list[Admission], revision: int) -> None:
+    def _admitted(self, batch: Batch, admitted: list[Admission], revision: int) -> None:
         self.batches[batch.key] = batch
-        for admission in taken:
+        for admission in admitted:
             self.resolve_admission(admission, True)
             self.add(admission.value, 0, observe=True, batch=batch)
 
@@ -311,10 +313,12 @@
 
     def pending_changes(self) -> Iterator[RecordChange]:
         """Yield all changes that have to be written, the most urgent first."""
-        at_hand = min(self.limits.txn_ops - constants.END_OPS, int(self.ledger.writes.level()))
+        available_ops = min(
+            self.limits.txn_ops - constants.END_OPS, int(self.ledger.writes.level())
+        )
         # The total size of a commit is limited as well: only a few large values fit.
-        fit = constants.COMMIT_MAX_B // 2 // self.limits.value_b
-        flush = self.oplog.next_flush(max(1, min(at_hand, fit)))
+        values_per_commit = constants.COMMIT_MAX_B // 2 // self.limits.value_b
+        flush = self.oplog.next_flush(max(1, min(available_ops, values_per_commit)))
         if flush is not None:
             # Attempts and their outcomes, of all jobs: machines wait for launches, and resources
             # become free with outcomes.
@@ -335,7 +339,7 @@
                 del self.ending[job]
         if flush is None or flush.count == len(self.oplog.pending):
             # Memory now equals the content of the log, so pages can replace log entries.
-            lsn, carried = self.oplog.lsn if flush is None else flush.lsn, False
+            lsn, has_long_page = self.oplog.lsn if flush is None else flush.lsn, False
             for name, number in list(dict.fromkeys(self.oplog.stale_pages())):
                 owner = self.jobs.get(name)
                 if owner is None:
@@ -353,19 +357,20 @@
                     yield RecordChange(
                         saved, [write], absent_keys=self._end_keys_to_be_absent(owner, page.stamp)
                     )
-                elif flush is None and not carried:
-                    carried = True  # another one would use the same segments
+                elif flush is None and not has_long_page:
+                    has_long_page = True  # another one would use the same segments
                     yield self._checkpoint_with_log(owner, number, lsn)
-        for kept in self.persisted_values:
-            if kept.is_dirty:
-                value = encode_raw(kept.dump())
+        for persisted in self.persisted_values:
+            if persisted.is_dirty:
+                value = encode_raw(persisted.dump())
                 if len(value) > self.limits.value_b:
-                    if kept.version != kept.warned_version:
-                        kept.warned_version = kept.version
-                        log.warning("value too long: %s takes %d bytes", kept.key, len(value))
+                    if persisted.version != persisted.warned_version:
+                        persisted.warned_version = persisted.version
+                        log.warning("value too long: %s takes %d bytes", persisted.key, len(value))
                     continue
                 yield RecordChange(
-                    partial(kept.mark_saved, kept.version), [KeyWrite(kept.key, kept.stamp, value)]
+                    partial(persisted.mark_saved, persisted.version),
+                    [KeyWrite(persisted.key, persisted.stamp, value)],
                 )
         for batch in list(self.batches.values()):
             if batch.size > self.limits.value_b and not batch.has_open_commit:
@@ -393,14 +398,14 @@
         end = KeyWrite(END_PREFIX + job.name, 0, encode_raw(value))
         batch = job.batch
         edits: dict[str, bytes | None] = {job.name: None}
-        stays = batch is not None and not self._can_rewrite(batch, edits)
+        stays_in_batch = batch is not None and not self._can_rewrite(batch, edits)
 
         def ended(revision: int) -> None:
             self.jobs.pop(job.name, None)
             self.ending.pop(job, None)
             if job in self.aborting:
                 self.aborting.remove(job)  # completed before the abort was written
-            if batch is not None and stays:
+            if batch is not None and stays_in_batch:
                 batch.ended_jobs.add(job.name)
             self.recent_ends[job.name] = status
             self.remember_final_state(job.name, status, job.done)
@@ -417,7 +422,7 @@
             change.writes.append(KeyWrite(JOB_PREFIX + job.name, job.stamp, None))
         else:
             change.absent_keys.append(JOB_PREFIX + job.name)
-        if batch is not None and not stays:
+        if batch is not None and not stays_in_batch:
             change.batch, change.edits = batch, edits
         return change
 
@@ -429,12 +434,12 @@
         batch = job.batch
         # If the batch can't be rewritten, the job gets a record of its own that says so.
         # Readers accept an abort from either record.
-        own = batch is None or not self._can_rewrite(batch, {job.name: value})
+        needs_own_record = batch is None or not self._can_rewrite(batch, {job.name: value})
 
         def aborted(revision: int) -> None:
             job.aborted, job.aborting = True, False
             self.aborting.remove(job)
-            if own:
+            if needs_own_record:
                 job.stamp = revision
             self.update_ending(job)
             log.info(
@@ -445,7 +450,7 @@
             )
             self.on_job_aborted(job)
 
-        if batch is not None and not own:
+        if batch is not None and not needs_own_record:
             return RecordChange(aborted, batch=batch, edits={job.name: value})
         write = KeyWrite(JOB_PREFIX + job.name, job.stamp, msgspec.Raw(value))
         return RecordChange(
@@ -474,34 +479,40 @@
             return RecordChange(lambda revision: None, batch=batch)
         if any(job.batch is batch for job in (*self.ending, *self.aborting)):
             return None  # a record that the same commit changes must not be moved in its old state
-        made: list[Batch] = []
+        new_batches: list[Batch] = []
         values = batch.records_after({})
-        left = list(values)
+        remaining = list(values)
         numbers = itertools.count(len(self.batches))
-        while left and len(made) < max(1, self.limits.txn_ops - 1):
-            new = Batch(f"{batch.key}-{self.office.token}-{next(numbers):04d}")
-            if new.key in self.batches:
+        while remaining and len(new_batches) < max(1, self.limits.txn_ops - 1):
+            new_batch = Batch(f"{batch.key}-{self.office.token}-{next(numbers):04d}")
+            if new_batch.key in self.batches:
                 continue
             size = 0
-            while left and (not new.records or size + len(values[left[0]]) < self.limits.value_b):
-                name = left.pop(0)
-                new.records[name] = values[name]
+            while remaining and (
+                not new_batch.records or size + len(values[remaining[0]]) < self.limits.value_b
+            ):
+                name = remaining.pop(0)
+                new_batch.records[name] = values[name]
                 size += len(values[name]) + 1
-            made.append(new)
-        edits: dict[str, bytes | None] = {name: None for new in made for name in new.records}
+            new_batches.append(new_batch)
+        edits: dict[str, bytes | None] = {
+            name: None for new_batch in new_batches for name in new_batch.records
+        }
         if not self._can_rewrite(batch, edits):
             return None
 
         def moved(revision: int) -> None:
-            for new in made:
-                new.mark_saved({}, revision)
-                self.batches[new.key] = new
-                for name in new.records:
+            for new_batch in new_batches:
+                new_batch.mark_saved({}, revision)
+                self.batches[new_batch.key] = new_batch
+                for name in new_batch.records:
                     job = self.jobs.get(name)
                     if job is not None and job.batch is batch:
-                        job.batch = new
+                        job.batch = new_batch
 
-        writes = [KeyWrite(new.key, 0, new.key_write({}).value) for new in made]
+        writes = [
+            KeyWrite(new_batch.key, 0, new_batch.key_write({}).value) for new_batch in new_batches
+        ]
         return RecordChange(moved, writes, batch=batch, edits=edits)
 
     def _checkpoint_with_log(self, job: Job, number: int, lsn: int) -> RecordChange:
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -78,24 +78,24 @@
 
     def _exceeds_limit(self, change: RecordChange) -> bool:
         """Whether a change has a value over the size limit; logged once for each value."""
-        most = self.ledger.limits.rewrite_b
-        refused = False
+        max_b = self.ledger.limits.rewrite_b
+        exceeds = False
         for write in change.writes:
             size = len(write.value or b"")
-            if size <= most:
+            if size <= max_b:
                 self.unwritable_sizes.pop(write.key, None)
                 continue
-            refused = True
+            exceeds = True
             if self.unwritable_sizes.get(write.key) != size:
                 self.unwritable_sizes[write.key] = size
                 log.warning(
                     "value can't be written: %s takes %d bytes of %d; %d log operations wait",
                     write.key,
                     size,
-                    most,
+                    max_b,
                     len(self.registry.oplog.pending),
                 )
-        return refused
+        return exceeds
 
     def _progress_mark(self) -> tuple[str, int]:
         """Return a value that changes whenever the main lane makes progress.
@@ -103,9 +103,9 @@
         While log operations are pending only the log counts. Other changes that are written
         meanwhile don't make the starts and ends of tasks durable.
         """
-        attempts = self.registry.oplog
-        if attempts.pending:
-            return "log", attempts.durable_count
+        oplog = self.registry.oplog
+        if oplog.pending:
+            return "log", oplog.durable_count
         return "lane", self.progress_count
 
     async def run_main_lane(self) -> None:
@@ -132,14 +132,18 @@
         for seven minutes that was never written, while machines were idle and nothing was logged.
         Whatever the cause of a stall, the next leader reads the record and continues.
         """
-        stood, seen = 0.0, self._progress_mark()
-        while stood < constants.STALL_S:
+        stalled_s, last_mark = 0.0, self._progress_mark()
+        while stalled_s < constants.STALL_S:
             await asyncio.sleep(constants.STALL_LOOK_S)
-            now = self._progress_mark()
-            moved = self.is_idle or now != seen or not self.office.leadership.acting()
-            stood, seen = 0.0 if moved else stood + constants.STALL_LOOK_S, now
+            mark = self._progress_mark()
+            made_progress = self.is_idle or mark != last_mark or not self.office.leadership.acting()
+            stalled_s, last_mark = (
+                0.0 if made_progress else stalled_s + constants.STALL_LOOK_S,
+                mark,
+            )
         log.error(
-            "write stall: nothing committed for %.0f s with changes pending; stepping down", stood
+            "write stall: nothing committed for %.0f s with changes pending; stepping down",
+            stalled_s,
         )
 
     async def _wait_for_ends(self) -> None:
@@ -150,14 +154,14 @@
         allows a single end, a third of the possible ends would be written: at four small jobs a
         second, users were told that a job is done only a minute after its end.
         """
-        writes, began = self.ledger.writes, self.office.clock.now()
-        while self.office.clock.now() < began + constants.GATHER_S:
-            worth = min(
+        writes, started_at = self.ledger.writes, self.office.clock.now()
+        while self.office.clock.now() < started_at + constants.GATHER_S:
+            needed_ops = min(
                 constants.END_OPS + len(self.registry.ending),
                 constants.GATHER_PART * writes.burst,
                 self.ledger.limits.txn_ops,
             )
-            if len(self.registry.ending) < 2 or writes.level() >= worth:
+            if len(self.registry.ending) < 2 or writes.level() >= needed_ops:
                 return
             await asyncio.sleep(constants.COALESCE_S)
 
@@ -171,10 +175,10 @@
         if writes.level() < constants.ALONE_PART * writes.burst:
             await asyncio.sleep(constants.COALESCE_S)  # let more submissions join
         while writes.level() < constants.ALONE_PART * writes.burst:
-            left = self.admitted_at + 1 / (constants.ADMIT_PART * writes.rate) - now()
-            if left <= 0:
+            pause_s = self.admitted_at + 1 / (constants.ADMIT_PART * writes.rate) - now()
+            if pause_s <= 0:
                 break
-            await asyncio.sleep(min(left, constants.COALESCE_S))
+            await asyncio.sleep(min(pause_s, constants.COALESCE_S))
 
     async def run_admissions(self) -> None:
         """Commit submissions until cancelled; several such loops run at once.
@@ -235,7 +239,7 @@
         apply: list[dict[str, Any]] = [
             {"remove": w.key} if w.value is None else {"write": w.key, "v": w.value} for w in writes
         ]
-        unsure = False
+        maybe_applied = False
         while True:
             # After a long silence another node may lead. The fence would reject this commit, but
             # it would use up changes of the budget that belongs to the new leader by then.
@@ -250,11 +254,11 @@
             except NotExecuted:
                 await asyncio.sleep(constants.STATE_PAUSE_S)
             except (NoAnswer, TimeoutError):
-                unsure = True
+                maybe_applied = True
                 await asyncio.sleep(constants.STATE_PAUSE_S)
             except Conflict as conflict:
-                unsure = unsure or conflict.unsure
-                if unsure and LEADER_KEY not in conflict.failed:
+                maybe_applied = maybe_applied or conflict.unsure
+                if maybe_applied and LEADER_KEY not in conflict.failed:
                     # Check first whether another copy was applied. If an applied commit passed
                     # for rejected, its batch would stay in the record after its jobs' ends.
                     revision = await self._applied_revision(writes)
@@ -273,7 +277,7 @@
                 if self.ledger.limits.refused(largest):
                     # A copy with a lost answer may have been applied before the reduction.
                     log.warning("state service limits reduced: %s", error)
-                    revision = await self._applied_revision(writes) if unsure else 0
+                    revision = await self._applied_revision(writes) if maybe_applied else 0
                     while revision is None:
                         await asyncio.sleep(constants.STATE_PAUSE_S)
                         revision = await self._applied_revision(writes)
@@ -289,19 +293,23 @@
         them. A job that is over and has a second record gets an end that removes both records.
         No copy of the failed commit can be applied later: the keys stay or become final keys.
         """
-        guards = {
+        admissions_by_key = {
             prefix + admission.value.spec.nameId: admission
             for change in changes
             for admission in change.admissions
             for prefix in (JOB_PREFIX, END_PREFIX)
         }
-        absent = {key for change in changes for key in change.absent_keys}
-        doubles = {key for key in absent if key.startswith(JOB_PREFIX)} - guards.keys()
-        if not failed or not all(key in guards or key in doubles for key in failed):
+        absent_keys = {key for change in changes for key in change.absent_keys}
+        second_records = {
+            key for key in absent_keys if key.startswith(JOB_PREFIX)
+        } - admissions_by_key.keys()
+        if not failed or not all(
+            key in admissions_by_key or key in second_records for key in failed
+        ):
             return False
         for key in failed:
-            if key in guards:
-                self.registry.resolve_admission(guards[key], False)
+            if key in admissions_by_key:
+                self.registry.resolve_admission(admissions_by_key[key], False)
                 continue
             try:
                 row = await self.ledger.get(key)
@@ -328,8 +336,8 @@
         a submission of the same job. There the value decides; otherwise that submission would
         pass for the cancellation that this commit writes.
         """
-        kept = [w for w in writes if w.value is not None and w.stamp >= 0]
-        write = min(kept or writes[:1], key=_may_be_written_elsewhere)
+        written = [w for w in writes if w.value is not None and w.stamp >= 0]
+        write = min(written or writes[:1], key=_may_be_written_elsewhere)
         try:
             row = await self.ledger.get(write.key)
             stamp = 0 if row is None else row.stamp
@@ -341,10 +349,10 @@
                 and _decode_record(row.v) != _decode_record(write.value)
             ):
                 return 0
-            lead = await self.ledger.get(LEADER_KEY)
+            leader_row = await self.ledger.get(LEADER_KEY)
         except (NoAnswer, NotExecuted):
             return None
-        if lead is None or lead.stamp != self.office.token:
+        if leader_row is None or leader_row.stamp != self.office.token:
             return None
         return stamp or self.office.token  # the revision of a removal is not stored anywhere
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,11 +1,10 @@
-"""A leader's log of attempts always drains, and where it does not, that is seen and said.
-
-Once on the bench (late transactions, derwent-dispatch-hunt, seed 7002) nothing was started for
-400 s beside 592 idle machines. Drawn backlogs showed a value of the log that was seven bytes too
-long and left out of every commit. Nothing in the log of that run named it, and the look for a lane
-that stands did not see it: other changes (ends, cancellations) went on being written, and each of
-those counted as progress. So a value that can't be written is named and counted now, and the log of
-attempts must itself move while operations wait.
+"""A leader's log of attempts always drains; if not, this is logged, counted and ends the lead.
+
+A log value that exceeded the size limit by seven bytes was left out of every commit, and no task
+was started for 400 s beside 592 idle machines (late transactions, seed 7002). Nothing was logged
+about it, and the stall check did not notice: ends and cancellations were still written, and each
+counted as progress. So a value that can't be written is logged and counted, and while log
+operations are pending only a commit of the log counts as progress.
 """
 
 import asyncio
@@ -26,7 +25,7 @@
 from test_gap import _long
 from test_membership import _leader, _until
 
-FLUSHES = 400  # more than any of the backlogs below takes
+FLUSHES_MAX = 400  # more than any backlog below needs
 
 
 def _operations(rng: random.Random, count: int) -> list[Op]:
@@ -43,19 +42,22 @@
 
 
 def _drain(log: OpLog, value_b: int, most: int) -> int:
-    """Flush until nothing waits; a value over the limit is not written, as by the writer."""
-    for flushes in range(FLUSHES):
+    """Flush until nothing is pending; like the writer, skip a flush with a value over the limit."""
+    for flushes in range(FLUSHES_MAX):
         flush = log.next_flush(most)
         if flush is None:
             return flushes
         if all(len(encode(piece.value)) <= value_b for piece in flush.appends):
             log.mark_saved(flush, flushes + 1)
-    raise AssertionError(f"{len(log.pending)} operations are left after {FLUSHES} flushes")
+    raise AssertionError(f"{len(log.pending)} operations are left after {FLUSHES_MAX} flushes")
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_backlog_of_any_sizes_drains(seed: int) -> None:
-    """Small commits between backlogs of several values, for values of many sizes."""
+    """A value over the limit is never written, so a backlog that yields one never drains.
+
+    Short backlogs alternate with backlogs of several values, for many value sizes.
+    """
     rng = random.Random(seed)
     for _ in range(60):
         value_b = rng.choice([1024, 1536, 2048, 4096, 15872])
@@ -68,7 +70,7 @@
 
 
 class Stuck(World):
-    """The first leader's log of attempts has a value that is too long, whenever it is written."""
+    """A world in which each log value of the first leader is too long to be written."""
 
     first: Any = None
 
@@ -87,7 +89,7 @@
 
 
 async def _others_are_written(world: Any) -> None:
-    """Submissions that are cancelled at once: each is a change that can be written."""
+    """Submit and cancel jobs; each is a change that can be written."""
     for number in range(2, 400):
         world.spawn(world.user(_long(number), 0.5))
         await asyncio.sleep(1.0)
@@ -96,7 +98,9 @@
 def test_a_log_that_does_not_move_beside_other_changes_costs_the_lead(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def story(world: Any) -> None:
+    """Other changes must not hide that the log of attempts makes no progress."""
+
+    async def scenario(world: Any) -> None:
         leader = _leader(world)
         world.first = leader.term
         _lengthen(world, monkeypatch)
@@ -110,14 +114,14 @@
         await _until(world, 30.0, lambda: world.jobs["run-000001"]["over"] == "done")
 
     with caplog.at_level(logging.WARNING, "chalkgrade.record"):
-        tell(story, 3, loss=0.0, kind=Stuck)
+        tell(scenario, 3, loss=0.0, kind=Stuck)
     named = [r.getMessage() for r in caplog.records if "can't be written" in r.getMessage()]
     assert any(LOG_PREFIX in line and "20002 bytes" in line for line in named)
-    assert len(named) < 20  # once a value, not once a try
+    assert len(named) < 20  # logged once per value, not per attempt
 
 
 def test_a_value_that_fits_again_is_not_counted_any_more() -> None:
-    """A key that was once too long is written later: its count must not stay."""
+    """Otherwise the metric would keep counting a key that was written later."""
 
     class Ledger:
         class limits:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -1,7 +1,7 @@
-"""Cancellations at awkward moments: a handover, a machine that hangs, a last task, a refusal.
+"""Cancellations during a handover, a machine's hang, a last task's end, or a loss of the lead.
 
-Judged as in test_limits: by where tasks are, what users are told, and when the leader key was
-written.
+As in test_limits, the checks are where tasks run, what users are told, and when the leader key
+was written.
 """
 
 import asyncio
@@ -26,21 +26,21 @@
 
 Patch = pytest.MonkeyPatch
 
-# -- cancellations in the seconds of a handover -------------------------------------------------
+# -- cancellations during a handover ------------------------------------------------------------
 
-SOON_S = 4.0  # s; a launch that was under way when a cancellation was told may still be executed
+LAUNCH_IN_FLIGHT_S = 4.0  # a launch sent before a cancellation was reported may arrive this late
 
 
-class Moved(Limited):
-    """The commit that moves the leader key takes a while, before and after it is executed."""
+class DelayedHandover(Limited):
+    """A world that delays the commit that moves the leader key, before and after its execution."""
 
-    HELD_S = 0.03
+    COMMIT_DELAY_S = 0.03
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.moving = False  # such a commit is under way
+        self.moving = False  # such a commit is in progress
         self.on_move: Callable[[str], None] = lambda when: None
-        self.moves: list[tuple[float, float, float]] = []  # it came, was executed, was answered
+        self.moves: list[tuple[float, float, float]] = []  # times: received, executed, answered
         self.late_starts: list[str] = []
         plain = self.store.handle
 
@@ -49,11 +49,11 @@
                 return await plain(source, method, path, body)
             came = self.now
             self.on_move("before")
-            await asyncio.sleep(self.HELD_S)
+            await asyncio.sleep(self.COMMIT_DELAY_S)
             answer = await plain(source, method, path, body)
             executed = self.now
             self.on_move("inside")
-            await asyncio.sleep(self.HELD_S)
+            await asyncio.sleep(self.COMMIT_DELAY_S)
             self.on_move("after")
             self.moves.append((came, executed, self.now))
             return answer
@@ -62,21 +62,21 @@
 
     def enter(self, worker: Any, task: Any) -> None:
         told = self.jobs[task.spec["nameId"]]["aborted"]
-        if told is not None and self.now > told + SOON_S:
+        if told is not None and self.now > told + LAUNCH_IN_FLIGHT_S:
             self.late_starts.append(task.name)
         super().enter(worker, task)
 
 
-class Asked:
-    """Cancellations around a commit that moves the key: who was asked when, and told when."""
+class Cancellations:
+    """The cancellations around a commit that moves the leader key, with their times."""
 
-    def __init__(self, world: Moved) -> None:
+    def __init__(self, world: DelayedHandover) -> None:
         self.world = world
-        self.asked: dict[str, tuple[str, str, float]] = {}  # job -> whom, when, at
-        self.told: dict[str, float] = {}
+        self.asked: dict[str, tuple[str, str, float]] = {}  # job -> member, phase, time
+        self.told: dict[str, float] = {}  # job -> when its user was told of the end
 
     async def ask(self, name: str, whom: str, when: str) -> None:
-        """A user cancels at one controller, again each 50 ms, looks everywhere, asks again."""
+        """Cancel at one controller, every 50 ms; then read and cancel again at all of them."""
         world = self.world
         self.asked[name] = (whom, when, world.now)
         world.jobs[name]["asked"] = True
@@ -84,7 +84,7 @@
         while world.jobs[name]["over"] is None:
             repeats.append(world.spawn(world.abort(name, whom)))
             await asyncio.sleep(0.05)
-            if len(repeats) > 40:  # that one is down
+            if len(repeats) > 40:  # that controller is down
                 whom = world.rng.choice([m for m in world.members if world.up(m)])
         self.told[name] = world.now
         for _ in range(20):
@@ -94,8 +94,8 @@
             await asyncio.sleep(world.rng.uniform(0.005, 0.3))
 
 
-async def _handed(world: Moved, how: str, seed: int) -> Asked:
-    """The lead passes on while users cancel: at the old leader, the next and a third node."""
+async def _cancel_during_handover(world: DelayedHandover, how: str, seed: int) -> Cancellations:
+    """Change the leader while users cancel at the old leader, the next and a third node."""
     rng = random.Random(seed)
     names = []
     for number in range(1, 28):
@@ -109,62 +109,67 @@
     assert node is not None
     old = node.settings.member
     others = [member for member in world.members if member != old]
-    left, seen = iter(names), Asked(world)
+    left, cancellations = iter(names), Cancellations(world)
 
     def on_move(when: str) -> None:
         for whom in (old, *others):
             for _ in range(2):
                 name = next(left, None)
                 if name is not None:
-                    world.spawn(seen.ask(name, whom, when))
+                    world.spawn(cancellations.ask(name, whom, when))
 
     world.on_move = on_move
     world.moves.clear()
     for whom in (old, *others) * 2:
         name = next(left)
-        at = rng.uniform(0.0, 0.06)  # the commit of it may or may not come before the key's
-        world.loop.call_later(at, lambda n=name, w=whom: world.spawn(seen.ask(n, w, "early")))
+        at = rng.uniform(0.0, 0.06)  # its commit may precede or follow the key's
+        world.loop.call_later(
+            at, lambda n=name, w=whom: world.spawn(cancellations.ask(n, w, "early"))
+        )
     await asyncio.sleep(0.05)
     await _change(world, how)
     await asyncio.sleep(world.CANCEL_S + 8.0)
     if world.failure is not None:
         raise world.failure
-    return seen
+    return cancellations
 
 
-def _cancelled_in_a_handover(how: str, seed: int) -> Asked:
-    found: list[Asked] = []
+def _cancelled_in_a_handover(how: str, seed: int) -> Cancellations:
+    found: list[Cancellations] = []
 
-    async def story(world: World) -> None:
-        assert isinstance(world, Moved)
-        found.append(await _handed(world, how, seed))
+    async def scenario(world: World) -> None:
+        assert isinstance(world, DelayedHandover)
+        found.append(await _cancel_during_handover(world, how, seed))
 
-    tell(story, seed, loss=0.0, kind=Moved)
+    tell(scenario, seed, loss=0.0, kind=DelayedHandover)
     return found[0]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("how", ["given", "ended", "back", "refused"])
 def test_cancellations_in_the_seconds_of_a_handover(how: str, seed: int) -> None:
-    """Planned or not: told once, they stay so everywhere, and what ran is gone in time.
+    """A reported cancellation holds at all nodes, and the job's tasks end in time.
 
-    Guards against a cancellation that only the old leader's memory has, one that the next does
-    not find in the record, and starts of cancelled jobs by a leader that does not know.
+    Guards against a cancellation that only the old leader's memory has, one that the next leader
+    doesn't find in the record, and starts of cancelled jobs by a leader that doesn't know it.
     """
-    seen = _cancelled_in_a_handover(how, seed)
-    world = seen.world
+    cancellations = _cancelled_in_a_handover(how, seed)
+    world = cancellations.world
     came, executed, answered = world.moves[0]
-    assert seen.told.keys() == seen.asked.keys() and len(seen.asked) >= 21
+    assert (
+        cancellations.told.keys() == cancellations.asked.keys() and len(cancellations.asked) >= 21
+    )
     for when in ("early", "before", "inside", "after"):
-        whom = {w for w, at, _ in seen.asked.values() if at == when}
+        whom = {w for w, at, _ in cancellations.asked.values() if at == when}
         assert whom == set(world.members), (when, whom)
-    times = [at for _, _, at in seen.asked.values()]
+    times = [at for _, _, at in cancellations.asked.values()]
     assert min(times) < came and came in times and executed in times and max(times) >= answered
-    assert not any(world.of_job(name) for name in seen.asked)
+    assert not any(world.of_job(name) for name in cancellations.asked)
     assert world.gone_most < world.CANCEL_S and not world.late_starts
 
 
 def _tells_before_it_is_durable(patch: Patch) -> None:
+    """Bug: users are told of a cancellation that is not durable."""
     plain = Term.abort
 
     async def abort(self: Term, name: str) -> str | None:
@@ -178,7 +183,7 @@
 
 
 def _forgets_cancellations(patch: Patch) -> None:
-    """A new leader takes the records of cancelled jobs for those of others."""
+    """Bug: a new leader ignores that a record says cancelled."""
     plain = JobRegistry.add
 
     def add(self: JobRegistry, value: Any, *args: Any, **more: Any) -> None:
@@ -188,7 +193,7 @@
 
 
 def _kills_nothing(patch: Patch) -> None:
-    """A new leader leaves what it finds of cancelled jobs where it is."""
+    """Bug: a new leader doesn't kill the tasks of cancelled jobs."""
     plain = Term._load
 
     async def load(self: Term) -> None:
@@ -211,6 +216,7 @@
 def test_bugs_in_a_handover_are_found(
     bug: Callable[[Patch], None], rule: str, monkeypatch: Patch
 ) -> None:
+    """The handover test must detect each of these bugs."""
     bug(monkeypatch)
     for seed in range(1, 7):
         for how in ("given", "back"):
@@ -225,10 +231,10 @@
 
 
 def test_a_planned_handover_is_not_undone_by_the_old_leaders_own_look(monkeypatch: Patch) -> None:
-    """The state service takes 30 ms for the commit that moves the key, and 5 for a read.
+    """The state service takes 30 ms for the commit that moves the key, and 5 ms for a read.
 
-    The old leader's loop then read its own key, took it for left over and ended its lease: the
-    commit failed, and an election followed.
+    The old leader's loop read its own key meanwhile, took it for a leftover and revoked its
+    lease. So the commit failed, and an election followed.
     """
     for bug in (False, True):
         if bug:
@@ -236,7 +242,7 @@
             monkeypatch.setattr(Leadership, "_giving", never, raising=False)
         given: list[bool] = []
 
-        async def story(world: World, given: list[bool] = given) -> None:
+        async def scenario(world: World, given: list[bool] = given) -> None:
             for _ in range(4):
                 await _until(world, 30.0, lambda: _leader(world))
                 node = _leader(world)
@@ -244,11 +250,11 @@
                 given.append(await _hand(world, node))
                 await asyncio.sleep(2.0)
 
-        tell(story, 5, loss=0.0, kind=Moved)
+        tell(scenario, 5, loss=0.0, kind=DelayedHandover)
         assert given == [not bug] * 4
 
 
-# -- a machine that hung and goes on ------------------------------------------------------------
+# -- a machine that hangs and resumes -----------------------------------------------------------
 
 
 @pytest.mark.parametrize("save", [0.0, 3.0])
@@ -256,24 +262,24 @@
 def test_a_cancelled_task_ends_though_its_machine_hangs_and_goes_on(
     hang_s: float, save: float
 ) -> None:
-    """Within its lease it is told to stop by the first answer; after it, it stops by itself.
+    """A worker that resumes within its lease gets a kill order; after it, it stops by itself.
 
-    The cloud is away, so that no machine can be returned instead.
+    The cloud is unreachable, so that the machine can't be returned instead.
     """
     found: list[tuple[float, float]] = []
 
-    async def story(world: World) -> None:
-        found.append(await _hung(world, hang_s, save))
+    async def scenario(world: World) -> None:
+        found.append(await _cancel_during_hang(world, hang_s, save))
 
     for seed in (1, 2, 3):
-        tell(story, seed, loss=0.0)
+        tell(scenario, seed, loss=0.0)
     for gone_s, hung_s in found:
         lease = World.LEASE_S + 0.5 + World.REPORT_S  # it may have reported just before
         assert gone_s < min(hung_s + 4.0 + World.REPORT_S + save, lease)
         assert gone_s < World.CANCEL_S
 
 
-async def _hung(world: World, hang_s: float, save: float) -> tuple[float, float]:
+async def _cancel_during_hang(world: World, hang_s: float, save: float) -> tuple[float, float]:
     spec = _long(1) | ({"savepointS": 5.0, "flushS": save} if save else {})
     name = spec["nameId"]
     world.spawn(world.user(spec, None))
@@ -294,7 +300,10 @@
 
 
 def test_a_machine_that_is_not_told_again_after_it_hung_is_found(monkeypatch: Patch) -> None:
-    """A kill that was sent once, into an answer that was dropped, counts as executed."""
+    """Bug: a kill order sent once counts as executed, although its answer was lost.
+
+    The cancelled task would run on; the test must detect that.
+    """
     plain = fleet.orders
 
     def orders(machine: Machine, *args: Any, **more: Any) -> list[dict[str, Any]]:
@@ -304,8 +313,8 @@
 
     monkeypatch.setattr(reports, "orders", orders)
 
-    async def story(world: World) -> None:
-        # The answer that carries the kill comes while the machine hangs, and is dropped.
+    async def scenario(world: World) -> None:
+        # The answer with the kill order is lost, as if it came while the machine hangs.
         spec = _long(1)
         name = spec["nameId"]
         world.spawn(world.user(spec, None))
@@ -321,16 +330,20 @@
             raise world.failure
 
     with pytest.raises(Broken, match="ran_cancelled"):
-        tell(story, 1, loss=0.0)
+        tell(scenario, 1, loss=0.0)
     monkeypatch.undo()
-    tell(story, 1, loss=0.0)
+    tell(scenario, 1, loss=0.0)
 
 
-# -- cancellations, questions and repetitions at the end of the last task -----------------------
+# -- cancellations, reads and repeated submissions at the end of the last task -------------------
 
 
-async def _at_the_end(world: World) -> tuple[int, int, int]:
-    """One-task jobs, four a second; at each end users cancel, ask and repeat, at all nodes."""
+async def _race_with_end(world: World) -> tuple[int, int, int]:
+    """Run four one-task jobs a second; at each end users cancel, read and resubmit at all nodes.
+
+    Returns how many cancellations came within 0.1 s of the end, and how many jobs were done and
+    withdrawn.
+    """
     rng = random.Random(world.rng.random())
     names, near = [], 0
 
@@ -375,24 +388,28 @@
     return near, over.count("done"), over.count("withdrawn")
 
 
-def _ends(seed: int) -> tuple[int, int, int]:
+def _outcomes(seed: int) -> tuple[int, int, int]:
     found: list[tuple[int, int, int]] = []
 
-    async def story(world: World) -> None:
-        found.append(await _at_the_end(world))
+    async def scenario(world: World) -> None:
+        found.append(await _race_with_end(world))
 
-    tell(story, seed, loss=0.0, kind=Limited)
+    tell(scenario, seed, loss=0.0, kind=Limited)
     return found[0]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_users_who_cancel_ask_and_repeat_at_the_end_of_the_last_task(seed: int) -> None:
-    """No other trouble; whoever comes first, what was told first stays so everywhere."""
-    near, done, withdrawn = _ends(seed)
+    """End and cancellation race; the outcome that was reported first must hold at all nodes.
+
+    There are no other faults.
+    """
+    near, done, withdrawn = _outcomes(seed)
     assert near == 80 and done > 5 and withdrawn > 5
 
 
 def _cancelled_whatever_became_of_it(patch: Patch) -> None:
+    """Bug: a cancellation is reported as successful although the job was done."""
     plain = Term.abort
 
     async def abort(self: Term, name: str) -> str | None:
@@ -402,18 +419,20 @@
 
 
 def test_an_end_that_is_called_a_cancellation_is_found(monkeypatch: Patch) -> None:
+    """The race test must detect an end that is reported as a cancellation."""
     _cancelled_whatever_became_of_it(monkeypatch)
     with pytest.raises(Broken, match="went_back"):
-        _ends(1)
+        _outcomes(1)
 
 
-# -- cancelled at the moment of the refusal, an outage a second later ---------------------------
+# -- cancelled when the leader loses the state service, with an outage a second later -----------
 
 
-async def _refused_then_down(world: World, seed: int) -> dict[str, int]:
-    """At one moment the leader is refused and users cancel, everywhere; a second later all are.
+async def _cancel_before_outage(world: World, seed: int) -> dict[str, int]:
+    """Let the state service refuse the leader while users cancel, and everyone a second later.
 
-    Returns how many jobs were told to be cancelled before the outage, and how many later.
+    Returns how many cancellations were reported before the outage, how many of these jobs had
+    tasks then, and how many cancellations were reported later.
     """
     rng = random.Random(seed)
     names = []
@@ -438,7 +457,7 @@
 
     for name in names:
         world.spawn(ask(name))
-    told: dict[str, bool] = {}  # and whether its tasks were there
+    told: dict[str, bool] = {}  # job -> whether it had tasks when its user was told
     while world.now < now + 1.2:
         await asyncio.sleep(0.01)
         for name in names:
@@ -453,28 +472,32 @@
     return {"told": len(told), "running": running, "later": len(names) - len(told)}
 
 
-def _refusals(seeds: Iterable[int]) -> dict[str, int]:
+def _count_cancellations(seeds: Iterable[int]) -> dict[str, int]:
     found = {"told": 0, "running": 0, "later": 0}
 
-    async def story(world: World, seed: int = 0) -> None:
-        for what, count in (await _refused_then_down(world, world.rng.randrange(10**6))).items():
+    async def scenario(world: World, seed: int = 0) -> None:
+        for what, count in (await _cancel_before_outage(world, world.rng.randrange(10**6))).items():
             found[what] += count
 
     for seed in seeds:
-        tell(story, seed, loss=0.0, kind=Limited)
+        tell(scenario, seed, loss=0.0, kind=Limited)
     return found
 
 
 def test_cancelled_as_the_leader_is_refused_and_a_second_later_all_are() -> None:
-    found = _refusals(range(1, 4))
-    # Some were told in the last moment, with tasks there; of the others nobody could be told.
+    """Tasks of jobs reported as cancelled must end in time although nobody can lead.
+
+    The leader keeps its workers for a while after it loses the state service.
+    """
+    found = _count_cancellations(range(1, 4))
+    # Some users were told just before the outage, with tasks running; the others only later.
     assert found["told"] >= 8 and found["running"] >= 8 and found["later"] >= 8, found
 
 
 def test_a_leader_that_only_keeps_its_workers_and_stops_nothing_is_found(
     monkeypatch: Patch,
 ) -> None:
-    """An answer that may launch nothing has no orders at all."""
+    """Bug: an answer that may not launch tasks has no kill orders either."""
     plain = fleet.orders
 
     def orders(*args: Any, launches: bool) -> list[dict[str, Any]]:
@@ -482,4 +505,4 @@
 
     monkeypatch.setattr(reports, "orders", orders)
     with pytest.raises(Broken, match="ran_cancelled"):
-        _refusals(range(1, 4))
+        _count_cancellations(range(1, 4))
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -1,4 +1,7 @@
-"""What commits are conditioned on: a transaction may be executed late, after newer ones."""
+"""Commits carry conditions, because a transaction may be executed late, after newer ones.
+
+Each test of a late execution also runs without the condition, where it must fail.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -44,23 +47,27 @@
 def test_each_kind_of_commit_has_what_it_lacks(
     conditions: dict[str, int], op: dict[str, Any], wrong: str
 ) -> None:
+    """The check must notice each kind of commit that lacks a condition."""
     found = missing_conditions(conditions, [op], {})
     assert any(wrong in text for text in found), found
 
 
 def test_a_job_that_moves_between_batches_is_no_new_one() -> None:
+    """Moving a job between batches needs no condition on its end; the check must not demand it."""
     held = {"cg/in/7-1": {"jobs": [JOB]}}
     both = TOKEN | {"cg/in/7-1": 4, "cg/in/7-1-7-0000": 0}
     moved = {"write": "cg/in/7-1-7-0000", "v": {"jobs": [JOB]}}
     assert missing_conditions(both, [moved, {"remove": "cg/in/7-1"}], held) == []
 
 
-def _without(wanted: Callable[[str], bool]) -> Callable[[pytest.MonkeyPatch], None]:
+def _without(removed: Callable[[str], bool]) -> Callable[[pytest.MonkeyPatch], None]:
+    """Return a bug that drops the conditions on certain keys from each commit."""
+
     def bug(patch: pytest.MonkeyPatch) -> None:
         plain = Ledger.commit
 
         async def commit(self: Any, conditions: Any, apply: Any, timeout: float = 2.0) -> int:
-            left = {key: stamp for key, stamp in conditions.items() if not wanted(key)}
+            left = {key: stamp for key, stamp in conditions.items() if not removed(key)}
             return await plain(self, left if apply else conditions, apply, timeout)
 
         patch.setattr(Ledger, "commit", commit)
@@ -70,14 +77,14 @@
 
 @pytest.mark.parametrize("kept", [LEADER_KEY, END_PREFIX, JOB_PREFIX, "cg/log/", "cg/in/"])
 def test_a_commit_without_a_condition_is_found(kept: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The region's state service judges each commit that would be executed."""
+    """The simulated state service checks each commit that it would execute."""
     _without(lambda key: key.startswith(kept))(monkeypatch)
     with pytest.raises(Broken, match="unfenced"):
         play(3, seconds=60.0, troubled=False)
 
 
 class Recording(World):
-    """Keeps the transactions that were executed."""
+    """A world that records the transactions that were executed."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -95,11 +102,11 @@
 
 async def _over(world: Recording, name: str) -> None:
     await _until(world, 90.0, lambda: END_PREFIX + name in world.store.keys)
-    await asyncio.sleep(3.0)  # clean-up as well
+    await asyncio.sleep(3.0)  # pages and list parts are removed too
 
 
 async def _leads_for(world: World, seconds: float) -> bool:
-    """Whether one leader stays, seconds after all were restarted."""
+    """Restart all controllers; returns whether the new leader stays for some seconds."""
     for member in world.members:
         world.spawn(world.restart(member, 0.2))
     await asyncio.sleep(8.0)
@@ -109,7 +116,7 @@
 
 
 def _again(store: Store, executed: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Every transaction once more, in any order; those that are executed again."""
+    """Send every transaction again in reverse order; returns those that were executed again."""
     return [data for data in reversed(executed) if store._commit(data)[0] == 200]
 
 
@@ -117,17 +124,17 @@
 def test_a_late_abort_beside_a_batch_does_not_make_the_job_again(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its record would come back after its end, and each leader that meets it would step down."""
+    """Otherwise its record exists again after its end, and each leader that meets it steps down."""
     if bug:
         monkeypatch.setattr(JobRegistry, "_end_keys_to_be_absent", lambda self, job, stamp: [])
         monkeypatch.setattr(Store, "_judge", lambda self, data: None)
-    # As after limits that have fallen: its batch can't be rewritten with it, only without.
+    # As after a reduction of the limits: the batch can be rewritten only without the job.
     monkeypatch.setattr(
         JobRegistry, "_can_rewrite", lambda self, batch, edits: None in edits.values()
     )
     stays: list[bool] = []
 
-    async def story(world: Any) -> None:
+    async def scenario(world: Any) -> None:
         name = _long(1)["nameId"]
         world.spawn(world.user(_long(1), 20.0))
         await _until(world, 30.0, lambda: world.jobs.get(name, {}).get("accepted"))
@@ -143,14 +150,14 @@
         assert (JOB_PREFIX + name in world.store.keys) == bug
         stays.append(await _leads_for(world, 12.0))
 
-    tell(story, 4, loss=0.0, kind=Recording)
+    tell(scenario, 4, loss=0.0, kind=Recording)
     assert stays == [not bug]
 
 
 def test_no_transaction_of_a_day_is_executed_a_second_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each one that was executed comes once more when the leader still leads: all but clean-up."""
+    """A repeated transaction must fail while the leader still leads; removals are harmless."""
 
-    async def story(world: Any) -> None:
+    async def scenario(world: Any) -> None:
         for number in range(1, 9):
             spec = _long(number, 3) | {"expectedS": 4.0}
             world.spawn(world.user(spec, 12.0 if number % 3 == 0 else None))
@@ -163,7 +170,7 @@
             kinds = {next(iter(op)) for op in data["apply"]}
             assert kinds == {"remove"}, data
 
-    tell(story, 6, loss=0.0, kind=Recording)
+    tell(scenario, 6, loss=0.0, kind=Recording)
 
 
 def _all_over(world: World, count: int) -> bool:
@@ -174,6 +181,7 @@
 def test_parts_of_a_list_are_not_left_behind_by_a_late_write(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Parts of a dependency list that are written after the job's end are never removed."""
     if bug:
         plain = Ledger.commit
 
@@ -186,7 +194,7 @@
         monkeypatch.setattr(Ledger, "commit", commit)
         monkeypatch.setattr(Store, "_judge", lambda self, data: None)
 
-    async def story(world: Any) -> None:
+    async def scenario(world: Any) -> None:
         leader = _leader(world)
         assert leader is not None
         waits = [f"run-{number:06d}" for number in range(2000, 3200)]
@@ -200,19 +208,19 @@
         await _over(world, spec["nameId"])
         assert not [key for key in world.store.keys if key.startswith(DEPENDENCIES_PREFIX)]
         made = [d for d in world.executed if DEPENDENCIES_PREFIX in d["apply"][0].get("write", "")]
-        assert made, "its list was kept apart"
+        assert made, "its list was stored separately"
         for data in made:
             world.store._commit(data)
         left = [key for key in world.store.keys if key.startswith(DEPENDENCIES_PREFIX)]
         assert bool(left) == bug
 
-    tell(story, 5, loss=0.0, kind=Recording)
+    tell(scenario, 5, loss=0.0, kind=Recording)
 
 
 def test_a_repeated_submission_of_a_long_list_that_is_over_is_known() -> None:
-    """Its parts can't be written any more: that is an answer, not a failure."""
+    """Its parts can't be written after its end: the user gets its status, not an error."""
 
-    async def story(world: Any) -> None:
+    async def scenario(world: Any) -> None:
         leader = _leader(world)
         assert leader is not None
         name = "run-000001"
@@ -229,10 +237,11 @@
         "cg/need/run-1/ab-0",
         "cg/need/run-1/ab-1",
     ]
-    tell(story, 5, loss=0.0, kind=Recording)
+    tell(scenario, 5, loss=0.0, kind=Recording)
 
 
 def test_a_batch_writes_what_is_left_of_it() -> None:
+    """A batch is removed with its last record, and conditioned on its revision otherwise."""
     batch = Batch("cg/in/7-1", 4, {"run-1": b"{}", "run-2": b"{}"})
     assert batch.key_write({"run-1": None}).stamp == 4
     assert batch.key_write({"run-1": None, "run-2": None}).value is None
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,7 +1,7 @@
-"""Transactions that are executed at once and whose answers are lost, kind by kind.
+"""Transactions that are executed immediately and whose answers are lost, for each kind of commit.
 
-Others read meanwhile what was written. Each test asserts that the answers were lost that it is
-about, and each kind has a bug that is put in on purpose and found.
+Other nodes read the written values meanwhile. Each test asserts that answers of its kind were
+lost, and runs again with a deliberate bug that it must detect.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 from test_membership import _give, _leader, _monitor, _until
 
 Transaction = dict[str, Any]
-STOOD_S = 0.5  # s; for which a lost answer may hold up its sender: its time-out is 2 s
+MAX_DELAY_S = 0.5  # for which a lost answer may delay its sender, whose time-out is 2 s
 
 
 def _ops(data: Transaction, prefix: str) -> list[dict[str, Any]]:
@@ -55,8 +55,8 @@
     return absent and bool(_ops(data, BATCH_PREFIX)) and not _ops(data, END_PREFIX)
 
 
-# Which transactions are of a kind.
-OF: dict[str, Callable[[Transaction], bool]] = {
+# Which transactions belong to each kind.
+KINDS: dict[str, Callable[[Transaction], bool]] = {
     "batch": _admits,
     "launch": lambda data: bool(_ops(data, LOG_PREFIX)),
     "end": lambda data: _end(data, "done"),
@@ -75,15 +75,15 @@
 }
 
 
-class Losing(World):
-    """Loses the answers of the next transactions of a kind; they are executed at once."""
+class AnswerLossWorld(World):
+    """A world that executes the next transactions of a kind and loses their answers."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.of: Callable[[Transaction], bool] = lambda data: False
-        self.left = 0  # how many answers are still to be lost
-        self.unheard: list[tuple[float, int]] = []  # when one was, and its status
-        self.stood: list[float] = []  # s; from the first loss until its sender knew
+        self.is_matching: Callable[[Transaction], bool] = lambda data: False
+        self.left = 0  # number of answers still to be lost
+        self.lost_answers: list[tuple[float, int]] = []  # time and status of each lost answer
+        self.durations_s: list[float] = []  # s; from the first loss until its sender knew
         plain = self.store.handle
 
         async def handle(
@@ -93,20 +93,21 @@
             if path != "/commit" or answer is None or answer[0] not in (200, 409):
                 return answer
             data = msgspec.json.decode(body)
-            if not data.get("apply") or not self.left or not self.of(data):
+            if not data.get("apply") or not self.left or not self.is_matching(data):
                 return answer
             self.left -= 1
-            self.unheard.append((self.now, answer[0]))
+            self.lost_answers.append((self.now, answer[0]))
             await asyncio.sleep(30.0)
             return None
 
         self.store.handle = handle  # type: ignore[method-assign]
 
     def lose(self, kind: str, times: int) -> None:
-        self.of, self.left, self.unheard = OF[kind], times, []
+        """Lose the next `times` answers to transactions of a kind."""
+        self.is_matching, self.left, self.lost_answers = KINDS[kind], times, []
 
-    def agrees(self) -> str:
-        """In what the leader's book and the state service differ; empty once all is written."""
+    def disagreement(self) -> str:
+        """Return where the leader's memory and the state service differ; empty if they agree."""
         leader = _leader(self)
         if leader is None or leader.intake.term is None:
             return "nobody leads"
@@ -126,15 +127,15 @@
         return ""
 
 
-def _timed(patch: pytest.MonkeyPatch, stood: list[float]) -> None:
-    """Measure how long commits take of which an answer was lost."""
+def _measure_commits(patch: pytest.MonkeyPatch, durations_s: list[float]) -> None:
+    """Measure how long commits take, including those that lose an answer."""
     plain = Writer._commit
 
     async def commit(self: Writer, changes: Any, edits: Any) -> int:
         loop = asyncio.get_running_loop()
         began = loop.time()
         found = await plain(self, changes, edits)
-        stood.append(loop.time() - began)
+        durations_s.append(loop.time() - began)
         return found
 
     patch.setattr(Writer, "_commit", commit)
@@ -145,8 +146,8 @@
     return 0 if row is None else row[1]
 
 
-async def _settled(world: Losing) -> None:
-    await _until(world, 20.0, lambda: not world.agrees())
+async def _settled(world: AnswerLossWorld) -> None:
+    await _until(world, 20.0, lambda: not world.disagreement())
 
 
 def _done(world: World, name: str) -> bool:
@@ -157,8 +158,8 @@
     return _long(number, 1) | {"expectedS": 4.0} | changes
 
 
-async def _first(world: Losing) -> None:
-    """A machine that is up, so that what follows starts at once."""
+async def _start_machine(world: AnswerLossWorld) -> None:
+    """Run a first job, so that a machine is up and later tasks start immediately."""
     world.spawn(world.user(_short(1), None))
     await _until(world, 90.0, lambda: END_PREFIX + "run-000001" in world.store.keys)
     await asyncio.sleep(3.0)
@@ -167,27 +168,27 @@
 WRITTEN = ["batch", "launch", "end", "withdrawn", "abort", "kept"]
 
 
-async def _written(world: Losing, kind: str, times: int) -> None:
-    """Three jobs that end and three that are cancelled, while answers of a kind are lost."""
-    await _first(world)
+async def _end_and_cancel(world: AnswerLossWorld, kind: str, times: int) -> None:
+    """Run three jobs to their end and cancel three, while answers of a kind are lost."""
+    await _start_machine(world)
     token, leader = _token(world), _leader(world)
     assert leader is not None and leader.intake.term is not None
     world.lose(kind, times)
     for number in range(2, 5):
-        leader.intake.term.renter.types.mark_changed()  # a kept value
+        leader.intake.term.renter.types.mark_changed()  # a persisted value
         world.spawn(world.user(_short(number), None))
         world.spawn(world.user(_short(number + 3, tasks=3, expectedS=300.0), 8.0))
         await asyncio.sleep(2.0)
     await _until(world, 90.0, lambda: all(job["over"] for job in world.jobs.values()))
-    executed = [at for at, status in world.unheard if status == 200]
+    executed = [at for at, status in world.lost_answers if status == 200]
     assert len(executed) >= min(times, 3), "answers of the kind were lost"
     world.left = 0
     await _settled(world)
     assert _token(world) == token, "the lead was lost over an answer"
 
 
-def _refused(patch: pytest.MonkeyPatch) -> None:
-    """A commit without an answer is taken for not executed."""
+def _taken_for_not_executed(patch: pytest.MonkeyPatch) -> None:
+    """Bug: a commit without an answer counts as not executed."""
 
     async def nothing(self: Writer, writes: Any) -> int:
         return 0
@@ -200,34 +201,37 @@
 def test_a_leader_goes_on_when_only_the_answer_of_its_commit_is_lost(
     kind: str, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once, and each time: several in a row for one key."""
+    """One lost answer, and all of them, so that one key loses several in a row.
+
+    A leader that takes its own executed commit for a foreign one steps down.
+    """
     for times in (1, 1000):
         with monkeypatch.context() as patch:
-            stood: list[float] = []
-            _timed(patch, stood)
+            durations_s: list[float] = []
+            _measure_commits(patch, durations_s)
             if bug:
-                _refused(patch)
+                _taken_for_not_executed(patch)
 
-            async def story(world: Any, times: int = times) -> None:
-                await _written(world, kind, times)
+            async def scenario(world: Any, times: int = times) -> None:
+                await _end_and_cancel(world, kind, times)
 
             with pytest.raises(AssertionError) if bug else nullcontext():
-                tell(story, 4, loss=0.0, kind=Losing)
-            assert bug or max(stood) < STOOD_S
+                tell(scenario, 4, loss=0.0, kind=AnswerLossWorld)
+            assert bug or max(durations_s) < MAX_DELAY_S
 
 
-# -- records of a leader that take more to bring about -------------------------------------------
+# -- commits that need special conditions -------------------------------------------------------
 
 
-class Small(Losing):
-    """Values so small that the log's segments are used again and again, and batches too large."""
+class SmallValuesWorld(AnswerLossWorld):
+    """A world with a low value limit, so that log segments are reused and batches are too large."""
 
     STATE = {**World.STATE, "value_kb": 16, "next": {"value_kb": 2}}
 
 
-async def _checkpointed(world: Any, kind: str) -> None:
-    """A long job and many short ones: its pages are written, and removed after its end."""
-    await _first(world)
+async def _write_checkpoints(world: Any, kind: str) -> None:
+    """Run a long job and many short ones: its pages are written, and removed after its end."""
+    await _start_machine(world)
     token = _token(world)
     world.lose(kind, 1000)
     world.spawn(world.user(_short(2, tasks=2, expectedS=900.0), 70.0))
@@ -235,22 +239,22 @@
         world.spawn(world.user(_short(number, tasks=8, expectedS=2.0), None))
         await asyncio.sleep(1.0)
     await _until(world, 300.0, lambda: all(job["over"] for job in world.jobs.values()))
-    # Told as soon as it is called off; over once its machines have said so.
+    # Users are told on cancellation; the job ends once its machines have reported.
     await _until(world, 20.0, lambda: END_PREFIX + "run-000002" in world.store.keys)
     await _until(
         world, 3.0, lambda: not any(key.startswith(TASK_PREFIX) for key in world.store.keys)
     )
-    assert [status for _, status in world.unheard if status == 200], "answers were lost"
+    assert [status for _, status in world.lost_answers if status == 200], "answers were lost"
     world.left = 0
     await _settled(world)
     assert _token(world) == token
 
 
-async def _split(world: Any, kind: str) -> None:
-    """A batch of earlier, larger limits is divided."""
+async def _split_batch(world: Any, kind: str) -> None:
+    """Wait until a batch that was written under larger limits is split."""
     token = _token(world)
     await asyncio.sleep(1.0)
-    assert [status for _, status in world.unheard if status == 200], "answers were lost"
+    assert [status for _, status in world.lost_answers if status == 200], "answers were lost"
     for number in range(1, 9):
         world.spawn(world.user(_short(number), None))
     await _until(world, 120.0, lambda: len(world.jobs) == 8)
@@ -261,8 +265,8 @@
 
 
 def _large_batch(world: World) -> None:
-    """Eight accepted jobs under one key, as a leader under the larger limits left them."""
-    assert isinstance(world, Losing)
+    """Store eight accepted jobs under one key, as a leader under larger limits does."""
+    assert isinstance(world, AnswerLossWorld)
     jobs = [{"spec": _short(number), "at": 1700001000.0} for number in range(1, 9)]
     world.store._apply([{"write": f"{BATCH_PREFIX}1-1", "v": {"jobs": jobs}}])
     world.lose("split", 1000)
@@ -273,36 +277,37 @@
 def test_lost_answers_of_pages_and_splits_cost_no_lead(
     kind: str, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Checkpoints, removals and batch splits must be recognised as own commits too."""
     monkeypatch.setattr(constants, "SEGMENTS_KEPT", 1)
     monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
-    stood: list[float] = []
-    _timed(monkeypatch, stood)
+    durations_s: list[float] = []
+    _measure_commits(monkeypatch, durations_s)
     if bug:
-        _refused(monkeypatch)
+        _taken_for_not_executed(monkeypatch)
     split = kind == "split"
 
-    async def story(world: Any) -> None:
-        await (_split if split else _checkpointed)(world, kind)
+    async def scenario(world: Any) -> None:
+        await (_split_batch if split else _write_checkpoints)(world, kind)
 
     with pytest.raises(AssertionError) if bug else nullcontext():
-        tell(story, 4, loss=0.0, kind=Small, prepare=_large_batch if split else None)
-    assert bug or max(stood) < STOOD_S
+        tell(scenario, 4, loss=0.0, kind=SmallValuesWorld, prepare=_large_batch if split else None)
+    assert bug or max(durations_s) < MAX_DELAY_S
 
 
-# -- who leads, who is there ---------------------------------------------------------------------
+# -- leadership and membership ------------------------------------------------------------------
 
 
-async def _elected(world: Any, times: int) -> None:
-    """The leader ends; the answers of those who would lead next are lost."""
+async def _elect(world: Any, times: int) -> None:
+    """Stop the leader; the answers to the campaigns of its successors are lost."""
     world.spawn(_monitor(world))
-    await _first(world)
+    await _start_machine(world)
     old = next(iter(world.leaders()))
     world.lose("campaign", times)
     world.spawn(world.restart(old, 20.0))
-    await _until(world, 8.0, lambda: world.unheard)
+    await _until(world, 8.0, lambda: world.lost_answers)
     took = await _until(world, 8.0, lambda: _leader(world))
-    assert world.unheard[0][1] == 200
-    assert took < STOOD_S, "it leads as soon as it sees that the key is its own"
+    assert world.lost_answers[0][1] == 200
+    assert took < MAX_DELAY_S, "it leads as soon as it sees that the key is its own"
     world.left = 0
     token = _token(world)
     world.spawn(world.user(_short(2), None))
@@ -310,8 +315,8 @@
     assert _token(world) == token
 
 
-def _blind(patch: pytest.MonkeyPatch) -> None:
-    """Nobody looks at what a commit without an answer writes."""
+def _no_read_back(patch: pytest.MonkeyPatch) -> None:
+    """Bug: nobody reads the keys that a commit without an answer writes."""
 
     async def settled(self: Any, commit: Any, look: Any) -> int:
         return int(await commit)
@@ -324,16 +329,17 @@
 def test_a_new_leader_leads_though_the_answer_to_its_campaign_is_lost(
     times: int, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A candidate that doesn't recognise its own leader key would leave the lead to time out."""
     if bug:
-        _blind(monkeypatch)
+        _no_read_back(monkeypatch)
     with pytest.raises(AssertionError) if bug else nullcontext():
-        tell(lambda world: _elected(world, times), 4, loss=0.0, kind=Losing)
+        tell(lambda world: _elect(world, times), 4, loss=0.0, kind=AnswerLossWorld)
 
 
-async def _given(world: Any) -> None:
-    """The lead is given away; the answer of the commit that moves the key is lost."""
+async def _hand_over(world: Any) -> None:
+    """Hand the lead over; the answer of the commit that moves the leader key is lost."""
     world.spawn(_monitor(world))
-    await _first(world)
+    await _start_machine(world)
     leader = _leader(world)
     assert leader is not None
     for node in world.nodes.values():
@@ -341,10 +347,10 @@
     token = _token(world)
     world.lose("handover", 1000)
     world.spawn(_give(world, leader))
-    await _until(world, 5.0, lambda: world.unheard)
+    await _until(world, 5.0, lambda: world.lost_answers)
     took = await _until(world, 5.0, lambda: _leader(world) and _token(world) > token)
-    assert world.unheard[0][1] == 200 and _leader(world) is not leader
-    assert took < STOOD_S
+    assert world.lost_answers[0][1] == 200 and _leader(world) is not leader
+    assert took < MAX_DELAY_S
     token = _token(world)
     world.spawn(world.user(_short(2), None))
     await _until(world, 60.0, lambda: _done(world, "run-000002"))
@@ -355,7 +361,8 @@
 def test_a_lead_is_handed_over_though_the_answer_is_lost(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if bug:  # it goes on until it hears that the key was moved
+    """The old leader must stop in time, and its lease must not remove the moved key."""
+    if bug:  # the old leader continues until it is told that the key was moved
 
         async def hand_over(self: Any, *args: Any) -> bool:
             depose = self.depose
@@ -369,17 +376,17 @@
         plain = Leadership.hand_over
         monkeypatch.setattr(Leadership, "hand_over", hand_over)
     with pytest.raises(AssertionError) if bug else nullcontext():
-        tell(_given, 4, loss=0.0, kind=Losing)
+        tell(_hand_over, 4, loss=0.0, kind=AnswerLossWorld)
 
 
-async def _joined(world: Any) -> None:
-    """A controller is back; the answers to its registration are lost."""
-    await _first(world)
+async def _join(world: Any) -> None:
+    """Restart a controller; the answers to its registration are lost."""
+    await _start_machine(world)
     back = next(member for member in world.members if member not in world.leaders())
     world.lose("join", 3)
     before = set(world.store.leases)
     world.spawn(world.restart(back, 14.0))
-    await _until(world, 20.0, lambda: world.unheard)
+    await _until(world, 20.0, lambda: world.lost_answers)
     node = world.nodes[back]
     took = await _until(world, 30.0, lambda: node.presence.registered)
     row = world.store.keys[MEMBERS_PREFIX + back]
@@ -392,7 +399,8 @@
 def test_a_controller_is_registered_though_the_answer_is_lost(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if bug:  # it does not know its own key again
+    """A controller that doesn't recognise its own key would register again with another lease."""
+    if bug:  # it does not recognise its own key
         plain = Ledger.get
 
         async def get(self: Ledger, key: str) -> Row | None:
@@ -403,24 +411,24 @@
 
         monkeypatch.setattr(Ledger, "get", get)
     with pytest.raises(AssertionError) if bug else nullcontext():
-        tell(_joined, 4, loss=0.0, kind=Losing)
+        tell(_join, 4, loss=0.0, kind=AnswerLossWorld)
 
 
-async def _moved(world: Any, kind: str) -> None:
-    """The lead moves on while the answer of an executed commit is awaited."""
+async def _move_lead(world: Any, kind: str) -> None:
+    """Hand the lead over while the answer of an executed commit is awaited."""
     world.spawn(_monitor(world))
-    await _first(world)
+    await _start_machine(world)
     leader, token = _leader(world), _token(world)
     assert leader is not None
     world.lose(kind, 1)
     world.spawn(world.user(_short(2), None))
     world.spawn(world.user(_short(3, tasks=3, expectedS=300.0), 8.0))
-    await _until(world, 60.0, lambda: world.unheard)
+    await _until(world, 60.0, lambda: world.lost_answers)
     for node in world.nodes.values():
         node.handover.direct_at = world.now
     world.spawn(_give(world, leader))
     await _until(world, 10.0, lambda: _leader(world) and _token(world) > token)
-    assert world.unheard[0][1] == 200
+    assert world.lost_answers[0][1] == 200
     await _until(world, 60.0, lambda: len(world.jobs) == 3)
     await _until(world, 90.0, lambda: all(job["over"] for job in world.jobs.values()))
     await _settled(world)
@@ -430,16 +438,17 @@
 def test_the_next_leader_goes_by_a_commit_that_the_last_one_never_heard_of(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _blind(monkeypatch)  # else the last one has seen it within a tenth of a second
-    tell(lambda world: _moved(world, kind), 4, loss=0.0, kind=Losing)
+    """The next leader reads what was committed, also where the last one never learned of it."""
+    _no_read_back(monkeypatch)  # otherwise the last leader sees the commit within 0.1 s
+    tell(lambda world: _move_lead(world, kind), 4, loss=0.0, kind=AnswerLossWorld)
 
 
 # -- submissions by any node ---------------------------------------------------------------------
 
 
-async def _own(world: Any, times: int) -> None:
-    """A node that reaches no leader accepts a job by itself; others read it meanwhile."""
-    await _first(world)
+async def _accept_elsewhere(world: Any, times: int) -> None:
+    """A node that reaches no leader accepts a job on its own; others read it meanwhile."""
+    await _start_machine(world)
     token, leader = _token(world), next(iter(world.leaders()))
     others = [member for member in world.members if member != leader]
     world.cut({others[0]}, {leader, others[1]}, 40.0, False)
@@ -452,7 +461,7 @@
 
     async def submit() -> None:
         while not world.jobs[name]["accepted"]:
-            answer = await _asked(world, others[0], "POST", "/v2/runs", spec)
+            answer = await _request(world, others[0], "POST", "/v2/runs", spec)
             if answer[0] in (200, 201):
                 world.heard(name, answer[1])
                 world.jobs[name]["accepted"] = True
@@ -462,13 +471,13 @@
 
     began = world.now
     task = world.spawn(submit())
-    await _until(world, 10.0, lambda: world.unheard)
-    for member in world.members:  # what is on record may be told, and is never denied later
-        answer = await _asked(world, member, "GET", f"/v2/runs/{name}", b"")
+    await _until(world, 10.0, lambda: world.lost_answers)
+    for member in world.members:  # a recorded job may be reported, and must not be denied later
+        answer = await _request(world, member, "GET", f"/v2/runs/{name}", b"")
         assert answer[0] in (200, 503), (member, answer)
     await task
     took = world.now - began
-    assert [status for _, status in world.unheard][0] == 200
+    assert [status for _, status in world.lost_answers][0] == 200
     assert took < 2.5 + 1.5 * (times - 1), took
     await _until(world, 60.0, lambda: END_PREFIX + name in world.store.keys)
     world.left = 0
@@ -476,7 +485,7 @@
     assert _token(world) == token
 
 
-async def _asked(world: Any, member: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+async def _request(world: Any, member: str, method: str, path: str, body: Any) -> tuple[int, Any]:
     try:
         found: tuple[int, Any] = await world.request("users", member, method, path, body, 5.0)
     except NoAnswer:
@@ -489,27 +498,31 @@
 def test_a_submission_by_any_node_is_accepted_though_its_answer_is_lost(
     times: int, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if bug:  # a conflict with its own copy is taken for a refusal
+    """A retry conflicts with the executed first copy; that must not count as a rejection."""
+    if bug:  # a conflict with its own copy counts as a rejection
 
         async def query(self: Any, name: str) -> tuple[int, dict[str, Any]]:
             return 422, {}
 
         monkeypatch.setattr(Intake, "query", query)
     with pytest.raises(AssertionError) if bug else nullcontext():
-        tell(lambda world: _own(world, times), 4, loss=0.0, kind=Losing)
+        tell(lambda world: _accept_elsewhere(world, times), 4, loss=0.0, kind=AnswerLossWorld)
 
 
-# -- what is believed of an open commit ------------------------------------------------------------
+# -- recognising own commits --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("bug", [False, True])
 def test_what_the_next_leader_writes_is_not_taken_for_an_own_commit(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a standstill between a refusal and the look at what became of the other copy."""
+    """A leader paused between a conflict and its check for another copy reads newer values.
+
+    It must not take the next leader's write of the key for its own commit.
+    """
 
-    async def story(world: Any) -> None:
-        await _first(world)
+    async def scenario(world: Any) -> None:
+        await _start_machine(world)
         old = _leader(world)
         assert old is not None and old.intake.term is not None
         writer = old.intake.term.writer
@@ -533,18 +546,19 @@
         found = await world.within(old.settings.member, writer._applied_revision(writes))
         assert (found is None) != bug
 
-    tell(story, 4, loss=0.0, kind=Losing)
+    tell(scenario, 4, loss=0.0, kind=AnswerLossWorld)
 
 
 @pytest.mark.parametrize("aborted", [False, True])
 def test_a_submission_at_another_node_is_not_taken_for_an_own_cancellation(aborted: bool) -> None:
-    """An abort beside a batch that can't be rewritten makes the key that such a node makes too.
+    """An abort of a job whose batch can't be rewritten creates a key that other nodes create too.
 
-    Taken for executed, the cancellation would be told, and be on no record.
+    If the other node's submission passed for the abort, users would be told of a cancellation
+    that is not on record.
     """
 
-    async def story(world: Any) -> None:
-        await _first(world)
+    async def scenario(world: Any) -> None:
+        await _start_machine(world)
         leader = _leader(world)
         assert leader is not None and leader.intake.term is not None
         record = {"spec": world.spec(900), "at": 1.0}
@@ -557,4 +571,4 @@
         found = await world.within(leader.settings.member, writer._applied_revision([mine]))
         assert found == (stamp if aborted else 0)
 
-    tell(story, 4, loss=0.0, kind=Losing)
+    tell(scenario, 4, loss=0.0, kind=AnswerLossWorld)
--- a/tests/test_oplog.py
+++ b/tests/test_oplog.py
@@ -1,4 +1,4 @@
-"""The log of attempts: whatever is durable, and nothing else, comes back after a crash."""
+"""The log of attempts: after a crash exactly the durable operations are restored."""
 
 import random
 
@@ -14,18 +14,18 @@
 VALUE_B = 2048
 
 
-class Kept:
-    """What the state service holds: segments and pages."""
+class Stored:
+    """The content of the state service: segments and pages."""
 
     def __init__(self, most: int) -> None:
         self.revision = 0
-        self.most = most  # segments that one commit may write
+        self.most = most  # segments per commit
         self.segments: dict[str, tuple[int, bytes]] = {}
         self.pages: dict[tuple[str, int], bytes] = {}
-        self.carried = 0  # pages that were too long for a value
+        self.carried = 0  # pages that were too long for one value
 
     def flush(self, log: OpLog, jobs: dict[str, Job]) -> None:
-        """One commit, as the book makes it: a part of the log, pages that free its oldest."""
+        """Make one commit as the registry does: log entries, and pages that free old segments."""
         flush = log.next_flush(self.most)
         lsn = log.lsn if flush is None else flush.lsn
         pages = []
@@ -57,6 +57,7 @@
         log.release_pages(set(pages))
 
     def load(self, jobs: dict[str, int]) -> tuple[OpLog, dict[str, Job]]:
+        """Restore log and jobs as a new leader does."""
         log = OpLog(VALUE_B)
         out = {name: job(name, count, log) for name, count in jobs.items()}
         for (name, number), value in self.pages.items():
@@ -86,7 +87,7 @@
             job.done,
             sorted(job.waiting),
             sorted((i, a.number, a.machine) for i, a in job.live.items()),
-            job.is_faulty,  # the next leader must not start a faulty job afresh everywhere
+            job.is_faulty,  # a new leader must not start a faulty job on all machines again
         )
         for name, job in jobs.items()
     }
@@ -96,13 +97,16 @@
 def test_a_crash_at_any_flush_brings_back_what_was_durable(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half of the days with pages that a value can't hold when many of their tasks run."""
+    """A new leader must not lose, repeat or revive operations, whatever the last flush was.
+
+    With odd seeds pages have more live attempts than one value holds.
+    """
     long = seed % 2 > 0
     monkeypatch.setattr(constants, "PAGE_TASKS", 300 if long else 20)
     monkeypatch.setattr(constants, "SEGMENTS_KEPT", 3)
     monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
     rng = random.Random(seed)
-    kept, log = Kept(1 + seed % 3), OpLog(VALUE_B)
+    stored, log = Stored(1 + seed % 3), OpLog(VALUE_B)
     jobs: dict[str, Job] = {}
     number = reused = faulty = 0
     durable = picture(jobs)
@@ -122,23 +126,24 @@
             one.finish(attempt, sound and end < 0.7, failed=end > (0.95 if sound else 0.5))
         elif kind < 0.97:
             while log.pending:
-                kept.flush(log, jobs)
-            kept.flush(log, jobs)
+                stored.flush(log, jobs)
+            stored.flush(log, jobs)
             for name in [name for name, job in jobs.items() if job.is_over]:
                 log.release_pages({(name, page) for page in jobs.pop(name).pages})
             durable = picture(jobs)
             reused += bool(log.free)
         elif kind > 0.985:
-            log, jobs = kept.load({name: job.spec.tasks for name, job in jobs.items()})
+            log, jobs = stored.load({name: job.spec.tasks for name, job in jobs.items()})
             assert picture(jobs) == durable
             faulty += any(job.is_faulty for job in jobs.values())
     assert faulty or long
-    assert (kept.carried > 0) == long
-    assert reused  # segments were used again, so that old content was met
-    assert len(kept.segments) < 40
+    assert (stored.carried > 0) == long
+    assert reused  # segments were reused, so old content was read
+    assert len(stored.segments) < 40
 
 
 def test_waiting_gives_the_lowest_number_that_still_waits() -> None:
+    """Compared with a plain set: a lost or repeated task would never start or start twice."""
     rng = random.Random(5)
     waiting, twin = WaitingTasks(40), set(range(40))
     for _ in range(2000):
@@ -155,10 +160,10 @@
 
 
 def test_a_value_never_grows_over_the_limit_by_a_few_bytes() -> None:
-    """Byte by byte around the limit: what is written fits, and what fits is written there.
+    """Lengths around the limit, byte by byte: what is written fits, and no byte is wasted.
 
-    Found on the bench (late transactions): an entry that fitted the segment in use, but not
-    together with the value's frame, was left out of every commit, for ever.
+    An entry that fitted the current segment, but not together with the value's frame, was left
+    out of every commit, and nothing after it was written either (late transactions).
     """
     appended, begun = [], []
     for length in range(1200, 1800):
@@ -174,7 +179,7 @@
         assert len(encode(piece.value)) <= VALUE_B, length
         (begun if piece.overwrites else appended).append(length)
     assert appended and begun and max(appended) < min(begun)
-    # The longest that was appended fills the value to its last byte: nothing is given away.
+    # The longest appended entry fills the value to its last byte.
     log = OpLog(VALUE_B)
     log.add(Op("run-000001", 0, 1, "m" * 500))
     log.mark_saved(log.next_flush(), 1)  # type: ignore[arg-type]
