--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -198,7 +198,7 @@
 
     def knows(self, name: str) -> bool:
         """Whether a job is on record under this token."""
-        return name in self.jobs or name in self.book.recent_ends
+        return name in self.jobs or name in self.book.over
 
     async def submit(self, spec: JobSpec) -> bool:
         """Accept a job together with others; False when it is known already."""
@@ -225,12 +225,12 @@
                 raise Unavailable
         job = self.jobs.get(name)
         if job is None:
-            return self.book.recent_ends.get(name)
+            return self.book.over.get(name)
         self.book.abort(job)
         while self.live():
             if job.aborted:
                 return "withdrawn"
-            if name in self.book.recent_ends:
+            if name in self.book.over:
                 return "done"
             if not await self.book.committed.wait(deadline - self.clock.now()):
                 break
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -59,7 +59,7 @@
         self.came = came
         self.dues = dues
         self.takes = takes
-        self.graph = Graph(book.jobs, book.recent_ends, self._released, self._cancelled)
+        self.graph = Graph(book.jobs, book.over, self._released, self._cancelled)
         self.gates = [_Ready(self)]
         self.loops = [self._look_up]
         self.started = False
--- a/src/chalkgrade/record/changes.py
+++ b/src/chalkgrade/record/changes.py
@@ -132,10 +132,9 @@
     writes: list[KeyWrite] = field(default_factory=list)
     batch: Batch | None = None  # the batch whose records `edits` changes
     edits: dict[str, bytes | None] = field(default_factory=dict)
-    absent_keys: list[str] = field(
-        default_factory=list
-    )  # keys that must be absent for the commit to succeed
-    admissions: list["Admission"] = field(default_factory=list)
+    # Keys that must be absent for the commit to succeed.
+    absent_keys: list[str] = field(default_factory=list)
+    admissions: list["Admission"] = field(default_factory=list)  # the submissions it makes durable
 
 
 @dataclass(eq=False)
--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -64,9 +64,7 @@
     hosttypes: list[str] | None = None
     site: str | None = None
     dueS: float | None = None
-    licences: dict[str, int] | None = (
-        None  # licence pool -> seats per task, if licences are enabled
-    )
+    licences: dict[str, int] | None = None  # pool -> seats per task, if licences are enabled
     waitsOn: list[str] | None = None  # jobs that must be done before any task starts
 
     @property
@@ -184,22 +182,21 @@
     )
 
     def __init__(self, job: "Job", index: int, number: int, machine: str, op: int) -> None:
+        """Create try `number` of task `index`; `op` is its operation in the log."""
         self.job = job
         self.index = index
         self.number = number
         self.machine = machine
         self.op_number = op  # the log operation that makes it durable
-        self.launch_report: tuple[int, int] | None = (
-            None  # the report whose answer ordered its launch
-        )
+        # The report whose answer ordered its launch.
+        self.launch_report: tuple[int, int] | None = None
         self.state = ""  # as last reported; "" if never reported
         self.kill_requested_at: float | None = None  # since when it is to be stopped
         self.kill_sent = False  # a kill order may have been executed
         self.running_since = 0.0  # when it was first reported running
         self.placed_at = 0.0  # when it was placed; 0: by an earlier leader
-        self.is_starvation_guarded = (
-            False  # started by starvation protection: not preempted by urgency
-        )
+        # Started by the protection against starvation: not preempted for urgency.
+        self.is_starvation_guarded = False
 
     @property
     def name(self) -> str:
@@ -260,6 +257,7 @@
     """
 
     def __init__(self, count: int) -> None:
+        """Start with all of a job's `count` tasks waiting."""
         self._heap = list(range(count))  # may contain tasks that no longer wait
         self._members = set(self._heap)
 
@@ -310,15 +308,14 @@
         self.batch = batch  # the `changes.Batch` with its record, or None
         self.submitted_spec = value.spec  # as submitted
         self.spec = value.spec  # as scheduled: with the urgency of its dependents
-        self.stored_dependencies = value.apart
+        self.stored_dependencies = value.apart  # as in the record
         self.queue = f"{value.spec.owner}/{value.spec.jobclass}"  # owner and job class
         self.oplog = log
-        self.accepted_at = value.at
+        self.accepted_at = value.at  # wall time
         self.eligible_at = value.at  # wall time from which it may run and its wait counts
         self.due_times: list[float] | None = None  # wall times by which dependents need its end
-        self.in_pipeline = (
-            value.spec.waitsOn is not None or value.apart is not None
-        )  # has dependencies or dependents
+        # Whether it has dependencies or dependents.
+        self.in_pipeline = value.spec.waitsOn is not None or value.apart is not None
         self.is_blocked = False  # its dependencies are not done: none of its tasks is waiting
         self.aborted = value.aborted  # durable, so users may be told
         self.aborting = False  # abort not durable yet: nothing may be launched
@@ -326,16 +323,15 @@
         self.stamp = stamp  # revision of its own record; 0: none
         self.pages: dict[int, Page] = {}
         self.waiting = WaitingTasks(self.spec.tasks)
-        self.done = 0
-        self.live: dict[int, Attempt] = {}
+        self.done = 0  # number of done tasks
+        self.live: dict[int, Attempt] = {}  # task -> its attempt
         self.failures_by_machine: dict[str, int] = {}  # machine -> failed attempts there
         self.failed_probes = 0  # failed attempts while the job counts as faulty
         self.probe_limit = 1  # concurrent probes: twice as many as have run long
         self.has_run_long = False  # a replica ran long: tasks of a service are never done
-        self.retry_at = 0.0
-        self.image_affinity_until: float | None = (
-            None  # until when it waits for machines with its image
-        )
+        self.retry_at = 0.0  # no task is started before that, after failures
+        # Until when it waits for machines that have its image.
+        self.image_affinity_until: float | None = None
 
     @property
     def name(self) -> str:
--- a/src/chalkgrade/record/oplog.py
+++ b/src/chalkgrade/record/oplog.py
@@ -25,9 +25,8 @@
 DONE, INTERRUPTED, FAILED = 1, 0, 2
 
 PageName = tuple[str, int]  # job, number of the page
-SEGMENT_FRAME_B = (
-    len(b'{"e":[]}') - 1
-)  # bytes of a segment's value beside its entries and one comma each
+# Bytes of a segment's value beside its entries and one comma for each.
+SEGMENT_FRAME_B = len(b'{"e":[]}') - 1
 
 
 class Op(NamedTuple):
@@ -57,12 +56,11 @@
     """One key of the log, as known to the leader."""
 
     key: str
-    stamp: int = 0
-    needed_pages: set[PageName] = field(
-        default_factory=set
-    )  # pages with operations that only the log has
-    entries: list[bytes] = field(default_factory=list)
-    size: int = 0
+    stamp: int = 0  # last known revision; 0: never written
+    # Pages with operations that only the log has.
+    needed_pages: set[PageName] = field(default_factory=set)
+    entries: list[bytes] = field(default_factory=list)  # encoded; emptied when full
+    size: int = 0  # bytes of the entries and their separators
 
 
 @dataclass
@@ -73,7 +71,7 @@
     overwrites: bool  # the entry replaces the segment's old content
     entry: bytes
     lsn: int
-    page_names: set[PageName]
+    page_names: set[PageName]  # pages that the entry has operations of
 
     @property
     def value(self) -> msgspec.Raw:
@@ -107,12 +105,11 @@
         self.pending: deque[Op] = deque()
         self.appended_count = 0  # operations so far; an operation's number is the count after it
         self.durable_count = 0  # operations that are known to be durable
-        self.undurable_ends: dict[
-            tuple[str, int], int
-        ] = {}  # ended (task, try) -> operation, until durable
-        self.lsn = 0
+        # Ended (task, try) -> number of the operation, until that is durable.
+        self.undurable_ends: dict[tuple[str, int], int] = {}
+        self.lsn = 0  # sequence number of the last durable entry
         self.segments: dict[str, Segment] = {}  # in use, the oldest first
-        self.free: list[Segment] = []
+        self.free: list[Segment] = []  # segments that can be reused
         self._current: Segment | None = None
 
     def add(self, op: Op) -> int:
@@ -124,7 +121,7 @@
         return self.appended_count
 
     def next_flush(self, max_segments: int = 1) -> LogFlush | None:
-        """Return the next commit's append: as many pending operations as fit `most` values."""
+        """Return the next commit's append: as many pending operations as fit the segments."""
         if not self.pending:
             return None
         return self._flush(self.pending, max_segments, self._current)
--- a/src/chalkgrade/record/registry.py
+++ b/src/chalkgrade/record/registry.py
@@ -67,7 +67,7 @@
         self.remember_final_state = remember  # reports final states to the job API
         self.on_job_added = on_job  # called with each added job; True: just submitted
         self.jobs: dict[str, Job] = {}
-        self.recent_ends = RecentEnds()
+        self.over = RecentEnds()  # jobs whose end is durable
         # Callbacks for jobs whose end or abort is durable.
         self.on_job_ended: Callable[[Job, str], None] = lambda job, status: None
         self.on_job_aborted: Callable[[Job], None] = lambda job: None
@@ -150,7 +150,7 @@
     async def _load_record(self, raw: bytes, stamp: int, observe: bool) -> None:
         value = msgspec.json.decode(raw, type=JobValue)
         # The dependency list of a job that is over may be removed already.
-        if value.spec.nameId not in self.recent_ends:
+        if value.spec.nameId not in self.over:
             self.add(
                 await dependency_lists.with_dependencies(self.ledger, value), stamp, observe=observe
             )
@@ -172,7 +172,7 @@
         that holds the record; `observe` is True for a job that was submitted just now.
         """
         name = value.spec.nameId
-        if name in self.recent_ends:
+        if name in self.over:
             return
         job = self.jobs.get(name)
         if job is not None:
@@ -226,7 +226,7 @@
         up. Raises NoAnswer after `timeout` seconds; the job may then be accepted or not.
         """
         name = value.spec.nameId
-        if name in self.jobs or name in self.recent_ends:
+        if name in self.jobs or name in self.over:
             return False  # includes one with an open commit here and a record of its own
         earlier_admission = admission = self.admissions.get(name)
         if admission is None:
@@ -407,7 +407,7 @@
                 self.aborting.remove(job)  # completed before the abort was written
             if batch is not None and stays_in_batch:
                 batch.ended_jobs.add(job.name)
-            self.recent_ends[job.name] = status
+            self.over[job.name] = status
             self.remember_final_state(job.name, status, job.done)
             self.orphan_keys += [page.key for page in job.pages.values() if page.stamp]
             self.orphan_keys += dependency_lists.part_keys(job.name, job.stored_dependencies)
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -29,10 +29,10 @@
 class Writer:
     """Commits the changes by which the leader's memory is ahead of the state service."""
 
-    def __init__(self, office: Office, book: JobRegistry) -> None:
+    def __init__(self, office: Office, registry: JobRegistry) -> None:
         self.admitted_at = -1e9  # when the last commit of submissions was sent
         self.office = office
-        self.registry = book
+        self.registry = registry
         self.ledger = office.ledger
         self.in_flight = InFlightCommits()  # the commits in progress
         self.progress_count = 0  # commits of the main lane, and times that it became idle
--- a/src/chalkgrade/serving/naming.py
+++ b/src/chalkgrade/serving/naming.py
@@ -43,7 +43,7 @@
         if term is not None and term.live():
             jobs = term.jobs
             shapes: dict[str, str] = {name: jobs[name].spec.shape for name in names if name in jobs}
-            known = shapes.keys() | term.book.recent_ends.keys()
+            known = shapes.keys() | term.book.over.keys()
             for name in names:
                 admission = term.book.admissions.get(name)
                 if admission is None or name in known:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -381,7 +381,7 @@
         name = value.spec.nameId
         admission = self.admissions.get(name)
         if admission is None:
-            if name in self.jobs or name in self.recent_ends:
+            if name in self.jobs or name in self.over:
                 return False
             future = asyncio.get_running_loop().create_future()
             admission = self.admissions[name] = Admission(value, encode_raw(value), future)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -434,7 +434,7 @@
         await asyncio.sleep(15.0)
         heir, _ = _roles(world)
         assert heir.term is not None
-        assert len(heir.term.jobs) + len(heir.term.book.recent_ends) >= 301 - len(world.done)
+        assert len(heir.term.jobs) + len(heir.term.book.over) >= 301 - len(world.done)
         job = heir.term.jobs[huge["nameId"]]
         assert len(job.waiting) + len(job.live) + job.done == 100_000
         before = world.started
