--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -16,7 +16,16 @@
     """Whether the same machines serve both alike."""
     return all(
         getattr(one, name) == getattr(other, name)
-        for name in ("owner", "shape", "rank", "room", "hosttypes", "site", "standby", "tasks")
+        for name in (
+            "owner",
+            "shape",
+            "urgency_rank",
+            "resources",
+            "hosttypes",
+            "site",
+            "standby",
+            "tasks",
+        )
     )
 
 
@@ -96,7 +105,7 @@
     def _bound(self, job: Job) -> JobSpec:
         """What a job asks for, and the zone that its live tasks bind it to.
 
-        Found when a zone lost most of its machines: the cheapest room was rented in the other
+        Found when a zone lost most of its machines: the cheapest resources was rented in the other
         one, where no task of the job may go, and counted as free for it from then on.
         """
         spec = job.spec
