--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -30,7 +30,7 @@
 DEPENDENCIES_PREFIX = "cg/need/"
 JOB_ID_PATTERN = re.compile(r"[A-Za-z][A-Za-z0-9_.]*-[0-9]{1,20}\Z")
 URGENCY_RANKS = {"prod": 3, "high": 2, "standard": 1, "best_effort": 0}
-TASKS_MAX = 100_000
+TASKS_MAX = 100_000  # per job
 
 
 class SubmissionError(Exception):
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -23,6 +23,7 @@
 
 log = logging.getLogger("chalkgrade.record")
 
+# The record edits of one commit, by batch: job name -> new record, None: removed.
 Edits = dict[Batch, dict[str, bytes | None]]
 
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,10 +1,11 @@
 """A leader's log of attempts always drains; if not, this is logged, counted and ends the lead.
 
-A log value that exceeded the size limit by seven bytes was left out of every commit, and no task
-was started for 400 s beside 592 idle machines (late transactions, seed 7002). Nothing was logged
-about it, and the stall check did not notice: ends and cancellations were still written, and each
-counted as progress. So a value that can't be written is logged and counted, and while log
-operations are pending only a commit of the log counts as progress.
+A log value that exceeds the size limit by seven bytes is left out of every commit, so that no
+later log operation becomes durable. This is the suspected cause of a run in which no task was
+started for 400 s beside 592 idle machines (bench derwent-dispatch-hunt, late transactions, seed
+7002). Nothing was logged about it, and the stall check did not notice: ends and cancellations were
+still written, and each counted as progress. So a value that can't be written is logged and
+counted, and while log operations are pending only a commit of the log counts as progress.
 """
 
 import asyncio
@@ -134,8 +135,10 @@
 
     changes: list[RecordChange] = []
     office: Any = SimpleNamespace(ledger=Ledger, token=1)
-    book: Any = SimpleNamespace(pending_changes=lambda: changes, oplog=SimpleNamespace(pending=()))
-    writer = Writer(office, book)
+    registry: Any = SimpleNamespace(
+        pending_changes=lambda: changes, oplog=SimpleNamespace(pending=())
+    )
+    writer = Writer(office, registry)
     changes.append(RecordChange(lambda revision: None, [KeyWrite("cg/a", 0, b"x" * 101)]))  # type: ignore[list-item]
     assert writer.collect_changes()[0] == [] and writer.unwritable_sizes == {"cg/a": 101}
     changes[0].writes[0].value = b"x"  # type: ignore[assignment]
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -111,17 +111,19 @@
         leader = _leader(self)
         if leader is None or leader.intake.term is None:
             return "nobody leads"
-        book, keys = leader.intake.term.book, self.store.keys
+        registry, keys = leader.intake.term.book, self.store.keys
         batches = {key: row[1] for key, row in keys.items() if key.startswith(BATCH_PREFIX)}
-        if batches != {key: batch.stamp for key, batch in book.batches.items()}:
+        if batches != {key: batch.stamp for key, batch in registry.batches.items()}:
             return f"batches {batches}"
         own = {key: row[1] for key, row in keys.items() if key.startswith(JOB_PREFIX)}
-        if own != {JOB_PREFIX + name: job.stamp for name, job in book.jobs.items() if job.stamp}:
+        if own != {
+            JOB_PREFIX + name: job.stamp for name, job in registry.jobs.items() if job.stamp
+        }:
             return f"records {own}"
-        for segment in [*book.oplog.segments.values(), *book.oplog.free]:
+        for segment in [*registry.oplog.segments.values(), *registry.oplog.free]:
             if segment.stamp != keys.get(segment.key, (None, 0, None))[1]:
                 return f"segment {segment.key}"
-        for kept in book.persisted_values:
+        for kept in registry.persisted_values:
             if not kept.is_dirty and kept.stamp != keys.get(kept.key, (None, 0, None))[1]:
                 return f"kept {kept.key}"
         return ""
