--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -27,7 +27,7 @@
     Workers,
 )
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.rounds import Round
+from chalkgrade.sharing.rounds import SchedulingRound
 
 SEATS, JOBS, TTL_S, DAY_S, END_S = 3, 40, 30.0, 150.0, 1500.0
 
@@ -209,7 +209,9 @@
             name = f"host-{number:06d}"
             fleet.take(Report(name, 1, next(seqs), 1, "big", "ab"[number % 2]))
         began = time.process_time()
-        Round(jobs, fleet, {t.name: t for t in teams}, flavors, queues, clock, True, gates).run()
+        SchedulingRound(
+            jobs, fleet, {t.name: t for t in teams}, flavors, queues, clock, True, gates
+        ).run()
         if turn > 1:  # the first ones fill the machines
             took += time.process_time() - began
         for job in jobs.values():
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -23,8 +23,8 @@
 from chalkgrade.region.world import World, close
 from chalkgrade.renting.boots import Boots
 from chalkgrade.settings import Team
-from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.queues import Queues
+from chalkgrade.sharing.term_context import TermContext
 
 BEFORE, SMALL = 15, 75  # small jobs, those of the first minute among them
 FIRST_S, LARGE, EVERY_S, SERVICE_S, END_S = 75.0, 3, 70.0, 400.0, 1500.0
@@ -308,7 +308,7 @@
     office: Any = SimpleNamespace(settings=settings, clock=clock)
     book: Any = SimpleNamespace(jobs=jobs)
     renter: Any = SimpleNamespace(boots=Boots())
-    domain = Domain(office, book, fleet, queues, flavors, lambda: True)
+    domain = TermContext(office, book, fleet, queues, flavors, lambda: True)
     moves = part.Moves(
         domain, MoveSettings(per_minute=6000.0), renter, lambda job, count: count, lambda _: False
     )
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -20,7 +20,7 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.settings import Team
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.rounds import Round
+from chalkgrade.sharing.rounds import SchedulingRound
 
 MACHINES, CPUS = 3, 4
 STEP_S = 10.0
@@ -113,9 +113,9 @@
             known = fleet.machines.get(name)
             tasks = [TaskReport(t, n) for t, n in (known.attempts if known is not None else {})]
             fleet.take(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
-        inherit(graph, queues.dues, lambda job: queues.run_s(job))
+        inherit(graph, queues.due_times, lambda job: queues.expected_run_s(job))
         named = {team.name: team for team in teams}
-        Round(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
+        SchedulingRound(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
         for job in jobs.values():
             for attempt in job.live.values():
                 if (attempt.name, attempt.number) not in until:
--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -14,7 +14,7 @@
 from chalkgrade import constants
 from chalkgrade.machines.kinds import Pool
 from chalkgrade.renting.renter import Renter
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
 log = logging.getLogger("chalkgrade.hints")
 
@@ -36,7 +36,7 @@
     failed: dict[str, dict[str, int]] = {}  # machine -> job -> failures since its last success
 
 
-def gather(domain: Domain, renter: Renter) -> Hints:
+def gather(domain: TermContext, renter: Renter) -> Hints:
     """The hints of a term, each kind bounded."""
     clock, fleet, most = domain.office.clock, domain.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
@@ -62,7 +62,7 @@
     return out
 
 
-def apply(hints: Hints, domain: Domain, renter: Renter) -> None:
+def apply(hints: Hints, domain: TermContext, renter: Renter) -> None:
     """Begin a term with what the last leader said, as far as the record agrees."""
     clock, fleet, jobs = domain.office.clock, domain.fleet, domain.book.jobs
     shift = clock.now() - clock.wall()
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -8,7 +8,7 @@
 from chalkgrade.leading.scheduling import Scheduling
 from chalkgrade.machines.fleet import Machine, Report, orders
 from chalkgrade.record.jobs import Attempt
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
 Ended = Callable[[Machine | None, Attempt, str], None]
 
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        domain: Domain,
+        domain: TermContext,
         scheduling: Scheduling,
         took_in: Callable[[Machine, bool], None],
         ended: Ended,
@@ -29,7 +29,7 @@
         self.book = domain.book
         self.fleet = domain.fleet
         self.flavors = domain.flavors
-        self.live = domain.live
+        self.live = domain.is_serving
         self.scheduling = scheduling
         self.took_in = took_in  # a newest report was taken in; whether it was the first
         self.ended = ended  # an attempt is over; its cause, or empty
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -12,9 +12,13 @@
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.seams.gates import Gate
 from chalkgrade.seams.parts import Part, Sample, gauge
-from chalkgrade.sharing.domain import Domain
-from chalkgrade.sharing.rounds import Round
-from chalkgrade.sharing.standing import Standing, line, standing
+from chalkgrade.sharing.rounds import SchedulingRound
+from chalkgrade.sharing.term_context import TermContext
+from chalkgrade.sharing.wait_reasons import (
+    WaitReasonCounts,
+    count_wait_reasons,
+    format_wait_reasons,
+)
 
 log = logging.getLogger("chalkgrade.scheduling")
 
@@ -24,7 +28,7 @@
 
     def __init__(
         self,
-        domain: Domain,
+        domain: TermContext,
         sweep: Callable[[], None],
         refused: Callable[[], Iterable[Pool]],
     ) -> None:
@@ -34,7 +38,7 @@
         self.fleet = domain.fleet
         self.queues = queues = domain.queues
         self.flavors = domain.flavors
-        self.live = domain.live
+        self.live = domain.is_serving
         self.sweep = sweep  # looks for attempts that are surely gone
         self.refused = refused  # pools without capacity of late
         self.outer: list[Gate] = []  # other parts' gates
@@ -44,7 +48,7 @@
         self.least_waiting = float("inf")  # CPUs of the smallest task that waited lately
         self.preempted_at = -1e9
         self.told_at = -1e9
-        self.kept = queues.kept
+        self.kept = queues.stored_parts
         self.loops = [self._loop]
 
     # -- as a part ------------------------------------------------------------------
@@ -92,7 +96,9 @@
             began = self.clock.now()
             if not self.live() and began - self.told_at >= constants.TELL_EVERY_S:
                 self.told_at = began
-                log.warning("nothing is started: %s", line(self.standing()) or "no lease")
+                log.warning(
+                    "nothing is started: %s", format_wait_reasons(self.standing()) or "no lease"
+                )
             if self.live():
                 self.sweep()
                 self._round(began)
@@ -111,7 +117,7 @@
         preempt = now - self.preempted_at >= constants.PREEMPT_EVERY_S
         if preempt:
             self.preempted_at = now
-        plan = Round(
+        plan = SchedulingRound(
             self.book.jobs,
             self.fleet,
             self.teams,
@@ -122,8 +128,8 @@
             self.outer,
         )
         placed = plan.run()
-        if placed or plan.stopped:
-            log.debug("round: placed %d, stopping %d", placed, plan.stopped)
+        if placed or plan.preempted_count:
+            log.debug("round: placed %d, stopping %d", placed, plan.preempted_count)
         if now - self.told_at >= constants.TELL_EVERY_S:
             self.told_at = now
             self._tell()
@@ -137,9 +143,9 @@
 
     # -- what operators hear ----------------------------------------------------------
 
-    def standing(self) -> Standing:
+    def standing(self) -> WaitReasonCounts:
         """How many tasks of each class wait, and for what."""
-        return standing(
+        return count_wait_reasons(
             self.book.jobs.values(),
             self.fleet,
             self.teams,
@@ -174,4 +180,4 @@
         )
         why = self.standing()
         if why:
-            log.info("standing: %s", line(why))
+            log.info("standing: %s", format_wait_reasons(why))
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -32,8 +32,8 @@
 from chalkgrade.renting.renter import Renter
 from chalkgrade.seams import subsystems
 from chalkgrade.seams.parts import Loop, Part, Sample, by_label, gauge
-from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.queues import Queues
+from chalkgrade.sharing.term_context import TermContext
 from chalkgrade.state.ledger import Conflict, NotExecuted
 from chalkgrade.state.office import Office
 
@@ -66,12 +66,12 @@
         self.book = Book(office, remember, self._job_came)
         self.jobs = self.book.jobs
         self.succession = succession
-        self.domain = domain = Domain(
+        self.domain = domain = TermContext(
             office, self.book, self.fleet, self.queues, flavors, self.live
         )
         self.renter = Renter(domain, cloud, self._lost, self._able)
         self.renter.coming = lambda: self.pipelines.graph.coming(
-            self.queues.ends_in_s, constants.COMING_S
+            self.queues.remaining_makespan_s, constants.COMING_S
         )
         self.scheduling = Scheduling(domain, self._sweep, self.renter.refused)
         self.reports = Reports(domain, self.scheduling, self._took_in, self._ended)
@@ -81,7 +81,9 @@
         self.counts: dict[str, int] = defaultdict(int)  # ended attempts by cause
         self.believed: set[str] = set()  # jobs that others have told of, see `believe`
         self.writer = Writer(office, self.book)
-        self.pipelines = Pipelines(self.book, self._job_came, self.queues.dues, self.queues.takes_s)
+        self.pipelines = Pipelines(
+            self.book, self._job_came, self.queues.due_times, self.queues.expected_makespan_s
+        )
         self.add(self.pipelines)
         self.add(Faults(office.token, office.clock))
         self.add(self.scheduling)
--- a/src/chalkgrade/licences/seats.py
+++ b/src/chalkgrade/licences/seats.py
@@ -264,7 +264,7 @@
         """
         needs = self._mine.get(job)
         waited = self.queues.clock.wall() - job.open_at
-        slack = self.queues.slack(job)
+        slack = self.queues.slack_s(job)
         if needs is None or not stops.preempt or slack < 0 or waited <= constants.PREEMPT_WAIT_S:
             return
         if job in self._tried or not self._stoppable(job):
@@ -281,7 +281,7 @@
                 held = dict(self._mine[holder])[pool]
                 for attempt in holder.live.values():
                     ends = attempt.kill_at is not None or attempt in chosen
-                    if ends or self.queues.left_s(attempt, self._now) <= late:
+                    if ends or self.queues.remaining_run_s(attempt, self._now) <= late:
                         missing -= held
                     elif stops.may_stop(attempt, job):
                         loss = stops.loss(attempt)
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -27,9 +27,9 @@
 from chalkgrade.renting.renter import Renter
 from chalkgrade.seams.gates import Gate
 from chalkgrade.seams.parts import Part, Sample, by_label, gauge
-from chalkgrade.sharing.domain import Domain
-from chalkgrade.sharing.floor import Floor
-from chalkgrade.sharing.gates import Maxima
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
+from chalkgrade.sharing.constraints import TeamLimits
+from chalkgrade.sharing.term_context import TermContext
 from chalkgrade.vectors import Vector, fits, minus
 
 log = logging.getLogger("chalkgrade.moves")
@@ -111,7 +111,7 @@
 
     def __init__(
         self,
-        domain: Domain,
+        domain: TermContext,
         settings: MoveSettings,
         renter: Renter,
         able: Callable[[Job, int], int],
@@ -172,7 +172,7 @@
     async def run(self) -> None:
         while True:
             await asyncio.sleep(constants.MOVE_EVERY_S)
-            if self.domain.live():
+            if self.domain.is_serving():
                 self._advance()
                 if len(self.value.plans) < constants.MOVE_PLANS:
                     self._look()
@@ -250,15 +250,15 @@
         """A plan for the first large job that gains by one."""
         jobs = sorted(
             (job for job in self.book.jobs.values() if self._waits(job)),
-            key=self.domain.queues.order,
+            key=self.domain.queues.scheduling_key,
         )
         if not jobs:
             return
         # What fits some machine as it is needs no plan, only its turn.
         now = self.clock.now()
         least = min(job.spec.vcpus for job in jobs)
-        floor = Floor(self.fleet, self.domain.flavors, self.domain.queues, least, now)
-        slots = floor.every()
+        floor = ClusterSnapshot(self.fleet, self.domain.flavors, self.domain.queues, least, now)
+        slots = floor.all_slots()
         for job in jobs:
             # One search a look, and each shape of work now and then: a search costs more
             # than a round, and what found no plan finds none a moment later.
@@ -289,7 +289,7 @@
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
         teams = self.domain.office.settings.cluster.teams
-        maxima = Maxima({team.name: team for team in teams}, self.domain.queues)
+        maxima = TeamLimits({team.name: team for team in teams}, self.domain.queues)
         maxima.begin(self.book.jobs.values(), self.clock.now())
         if not maxima.ready(job) or maxima.most(job, count) < count:
             return
--- a/src/chalkgrade/region/world.py
+++ b/src/chalkgrade/region/world.py
@@ -18,7 +18,7 @@
 from chalkgrade.region.worker import WORKER_PORT
 from chalkgrade.serving.node import Node
 from chalkgrade.settings import Settings
-from chalkgrade.sharing.standing import line
+from chalkgrade.sharing.wait_reasons import format_wait_reasons
 
 
 class _Http:
@@ -102,7 +102,7 @@
                 rows = {
                     key: n for key, n in term.scheduling.standing().items() if key[0] == jobclass
                 }
-                return f"{member}: {line(rows) or 'nothing waits'}"
+                return f"{member}: {format_wait_reasons(rows) or 'nothing waits'}"
         return "nobody leads"
 
     def boot(self, member: str, home: str | None = None) -> None:
--- a/src/chalkgrade/renting/joint.py
+++ b/src/chalkgrade/renting/joint.py
@@ -6,14 +6,14 @@
 from chalkgrade.outside import Http
 from chalkgrade.record.jobs import Job
 from chalkgrade.renting.renter import Renter
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
 
 @dataclass(frozen=True)
 class Joint:
     """One term's domain, its renter, what all gates together say, and a way out."""
 
-    domain: Domain
+    domain: TermContext
     renter: Renter
     able: Callable[[Job, int], int]  # how many of so many tasks gates would let start
     ties: Callable[[Job], bool]  # whether a gate ties a job to what it has
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -9,7 +9,7 @@
 from chalkgrade.renting.headroom import NEVER, Headroom, Lane
 from chalkgrade.renting.plan import Need
 from chalkgrade.renting.report import PlanReport
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
 
 def _alike(one: JobSpec, other: JobSpec) -> bool:
@@ -27,7 +27,7 @@
 class WaitingWork:
     """The leader's waiting jobs as the needs of a rental plan."""
 
-    def __init__(self, domain: Domain, able: Callable[[Job, int], int]) -> None:
+    def __init__(self, domain: TermContext, able: Callable[[Job, int], int]) -> None:
         self._settings = domain.office.settings
         self._book = domain.book
         self._fleet = domain.fleet
@@ -39,14 +39,16 @@
         """Waiting work; `coming`: jobs, and in how many s they may run."""
         out: list[Need] = []
         jobs = [job for job in self._book.jobs.values() if not job.held]
-        for job in sorted(jobs, key=self._queues.order):
+        for job in sorted(jobs, key=self._queues.scheduling_key):
             # A faulty job, or one without seats, gets no more machines than it may use.
             tasks = self._able(job, job.startable)
             if job.aborted or job.aborting or not tasks:
                 continue
             spec = self._bound(job)
             report.of(spec.owner).wanted += tasks * spec.vcpus
-            self._add(out, Need(spec, tasks, self._queues.run_s(job), self._patience_s(job)))
+            self._add(
+                out, Need(spec, tasks, self._queues.expected_run_s(job), self._patience_s(job))
+            )
         return out + list(self._coming(coming))
 
     def headroom(self, ends: Mapping[Attempt, float]) -> dict[str, Headroom]:
@@ -71,9 +73,9 @@
         }
 
     def _patience_s(self, job: Job) -> float:
-        guest = self._queues.guest(job)
+        guest = self._queues.is_best_effort(job)
         patience = constants.GUEST_PATIENCE_S if guest else constants.PATIENCE_S
-        return min(patience, max(0.0, self._queues.slack(job)))
+        return min(patience, max(0.0, self._queues.slack_s(job)))
 
     def _add(self, out: list[Need], need: Need) -> None:
         """A thousand jobs of one task each are planned as one of a thousand."""
@@ -91,7 +93,7 @@
         for job, in_s in coming:
             if in_s <= boot_s:
                 patience = in_s + constants.PATIENCE_S
-                yield Need(job.spec, job.spec.tasks, self._queues.run_s(job), patience)
+                yield Need(job.spec, job.spec.tasks, self._queues.expected_run_s(job), patience)
 
     def _bound(self, job: Job) -> JobSpec:
         """What a job asks for, and the zone that its live tasks bind it to.
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -24,7 +24,7 @@
 from chalkgrade.renting.plan import Have, plan_rent
 from chalkgrade.renting.report import PlanReport
 from chalkgrade.seams.parts import Part, Sample
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
 log = logging.getLogger("chalkgrade.renting")
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        domain: Domain,
+        domain: TermContext,
         cloud: Cloud,
         lost: Callable[[Attempt], None],
         able: Callable[[Job, int], int],
@@ -50,7 +50,7 @@
         self.kept = [self.types]
         self.loops = [self.run]
         self.cloud = cloud
-        self.live = domain.live
+        self.live = domain.is_serving
         self.waiting = WaitingWork(domain, able)
         self.report = PlanReport()  # of the last plan
         self.told_at = -1e9
@@ -239,7 +239,7 @@
         """Return what is doomed or idle; what the cloud has confirmed is surely gone."""
         now = self.clock.now()
         patience = self.settings.operator.idle_release_s
-        if self.clock.wall() - self.queues.last_at > constants.LULL_S:
+        if self.clock.wall() - self.queues.last_submission_at > constants.LULL_S:
             # Nobody has asked for anything lately: there is less to keep machines for.
             patience = min(patience, constants.LULL_RELEASE_S)
         coming = [[job, in_s, job.spec.tasks] for job, in_s in self.coming()]
@@ -380,7 +380,7 @@
             for attempt in machine.attempts.values():
                 cpus = max(1, math.ceil(attempt.job.spec.vcpus - 1e-9))
                 service = attempt.job.spec.shape == "service"
-                ends[attempt] = NEVER if service else self.queues.left_s(attempt, now)
+                ends[attempt] = NEVER if service else self.queues.remaining_run_s(attempt, now)
                 busy.append((ends[attempt], cpus))
             free = max(0, int(flavor.vcpus) - sum(cpus for _, cpus in busy))
             ending = [(at, cpus) for at, cpus in busy if at < NEVER]
--- a/src/chalkgrade/sharing/shares.py
+++ b/src/chalkgrade/sharing/bopf.py
@@ -15,74 +15,76 @@
 from chalkgrade.vectors import EPS, Vector, dominant, fits, minus, plus
 
 
-class Kind(Enum):
+class QueueKind(Enum):
     HARD = "hard"
     SOFT = "soft"
     ELASTIC = "elastic"
 
 
 @dataclass(frozen=True)
-class Declaration:
+class BurstDeclaration:
     """Step 1: a bursty queue's demand per burst, its period and its deadline."""
 
     demand: Vector
-    period: float
-    deadline: float
+    period_s: float
+    deadline_s: float
 
     @property
     def rate(self) -> Vector:
-        return tuple(d / max(self.deadline, EPS) for d in self.demand)
+        return tuple(d / max(self.deadline_s, EPS) for d in self.demand)
 
 
-def admit(declared: dict[str, Declaration | None], capacity: Vector, nmin: int) -> dict[str, Kind]:
+def admit(
+    declared: dict[str, BurstDeclaration | None], capacity: Vector, nmin: int
+) -> dict[str, QueueKind]:
     """Steps 2 and 3, in the order in which the queues were declared.
 
     None stands for a batch queue. A queue whose demand would break the safety
     of those admitted before it is not refused per job but served as elastic:
     here admission happens while work is already accepted.
     """
-    kinds: dict[str, Kind] = {}
-    fair: dict[str, Declaration] = {}
+    kinds: dict[str, QueueKind] = {}
+    fair: dict[str, BurstDeclaration] = {}
     hard_rate: Vector = tuple(0.0 for _ in capacity)
     for name, declaration in declared.items():
-        kinds[name] = Kind.ELASTIC
+        kinds[name] = QueueKind.ELASTIC
         if declaration is None:
             continue
         count = max(len(fair) + 1, nmin)
         candidates = [*fair.values(), declaration]
         safe = all(
-            fits(d.demand, tuple(c * d.period / count for c in capacity)) for d in candidates
+            fits(d.demand, tuple(c * d.period_s / count for c in capacity)) for d in candidates
         )
         if not safe:
             continue
         fair[name] = declaration
         if fits(declaration.rate, minus(capacity, hard_rate)):
-            kinds[name] = Kind.HARD
+            kinds[name] = QueueKind.HARD
             hard_rate = plus(hard_rate, declaration.rate)
         else:
-            kinds[name] = Kind.SOFT
+            kinds[name] = QueueKind.SOFT
     return kinds
 
 
 @dataclass
-class Demand:
+class QueueDemand:
     """What one queue has and wants in a round."""
 
     queue: str
     team: str
-    kind: Kind
+    kind: QueueKind
     task: Vector  # the largest task waiting, so that a grant fits at least one
-    wants: Vector  # all it could use now, running work included
+    wanted: Vector  # all it could use now, running work included
     rate: Vector  # the declared fixed rate of a hard queue
-    remaining: float  # dominant work left in its burst, in amount-seconds
+    remaining_work: float  # dominant work left in its burst, in amount-seconds
     weight: float = 1.0
     urgency: int = 0
-    needed: Vector = (0.0, 0.0, 0.0)  # what its bursts' next bounds need now
-    guest: bool = False  # gets what nobody else wants
-    held: Vector = field(default=())  # what its running work takes
+    needed_now: Vector = (0.0, 0.0, 0.0)  # what its bursts' next bounds need now
+    is_best_effort: bool = False  # gets what nobody else wants
+    usage: Vector = field(default=())  # what its running work takes
 
 
-def _upto(limit: Vector, wants: Vector, room: Vector) -> Vector:
+def _scale_within(limit: Vector, wants: Vector, room: Vector) -> Vector:
     """The largest amount in the proportions of `wants` within both bounds."""
     part = 1.0
     for want, low, free in zip(wants, limit, room, strict=True):
@@ -129,7 +131,7 @@
 
 
 def fair_shares(
-    demands: Iterable[Demand], teams: dict[str, Team], capacity: Vector
+    demands: Iterable[QueueDemand], teams: dict[str, Team], capacity: Vector
 ) -> dict[str, Vector]:
     """What each queue's share of all would be over the long term, by its team's guarantee.
 
@@ -146,10 +148,10 @@
         team = teams.get(name)
         held = dominant((team.cpus, team.gpus, 0.0), capacity) if team is not None else 0.0
         weights[name] = (held + constants.FAIR_LEAST / len(queues)) / count
-    return drf({d.queue: (d.task, d.wants, weights[d.team]) for d in demands}, capacity, capacity)
+    return drf({d.queue: (d.task, d.wanted, weights[d.team]) for d in demands}, capacity, capacity)
 
 
-def whole_tasks(amount: Vector, task: Vector) -> Vector:
+def round_up_to_tasks(amount: Vector, task: Vector) -> Vector:
     """The amount rounded up to whole tasks, in the proportions of the task; one at least.
 
     A share below one task would never start anything. One of a task and a half, rounded down,
@@ -163,7 +165,7 @@
 Grants = list[tuple[str, Vector]]
 
 
-def allocate(demands: list[Demand], capacity: Vector) -> tuple[Grants, Grants]:
+def allocate(demands: list[QueueDemand], capacity: Vector) -> tuple[Grants, Grants]:
     """Steps 4 to 6: grants in the order in which they are to be filled.
 
     First what bounds need, by urgency: a lower priority's fixed rate must not
@@ -173,57 +175,59 @@
     room = capacity
     given: dict[str, Vector] = {d.queue: tuple(0.0 for _ in capacity) for d in demands}
     first: list[str] = []
-    soft = [demand for demand in demands if demand.kind is Kind.SOFT]
-    soft.sort(key=lambda d: (-d.urgency, d.remaining, d.queue))
+    soft = [demand for demand in demands if demand.kind is QueueKind.SOFT]
+    soft.sort(key=lambda d: (-d.urgency, d.remaining_work, d.queue))
 
     def grant(queue: str, amount: Vector) -> None:
         nonlocal room
         given[queue] = plus(given[queue], amount)
         room = minus(room, amount)
 
-    def give(demand: Demand, limit: Vector) -> None:
-        grant(demand.queue, _upto(limit, minus(demand.wants, given[demand.queue]), room))
+    def give(demand: QueueDemand, limit: Vector) -> None:
+        grant(demand.queue, _scale_within(limit, minus(demand.wanted, given[demand.queue]), room))
 
-    def share(some: list[Demand], limit: Callable[[Demand], Vector]) -> None:
+    def share(some: list[QueueDemand], limit: Callable[[QueueDemand], Vector]) -> None:
         wanted = {
-            d.queue: (d.task, minus(_least(limit(d), d.wants), given[d.queue]), d.weight)
+            d.queue: (d.task, minus(_elementwise_min(limit(d), d.wanted), given[d.queue]), d.weight)
             for d in some
         }
         for queue, amount in drf(wanted, room, capacity).items():
             grant(queue, amount)
 
-    own = [demand for demand in demands if not demand.guest]
+    own = [demand for demand in demands if not demand.is_best_effort]
     for urgency in sorted({demand.urgency for demand in own}, reverse=True):
         tier = [demand for demand in own if demand.urgency == urgency]
         for demand in tier:
-            if demand.kind is Kind.HARD:
+            if demand.kind is QueueKind.HARD:
                 # A fixed rate below one task would never start anything: round up to one.
                 floor = tuple(max(r, t) for r, t in zip(demand.rate, demand.task, strict=True))
                 give(demand, floor)
         for demand in soft:
             if demand in tier:
-                give(demand, demand.needed)
-        bursty = [d for d in tier if d.kind is Kind.ELASTIC and any(d.needed)]
-        share(bursty, lambda d: d.needed)
+                give(demand, demand.needed_now)
+        bursty = [d for d in tier if d.kind is QueueKind.ELASTIC and any(d.needed_now)]
+        share(bursty, lambda d: d.needed_now)
         first += [demand.queue for demand in tier]
     before = [(queue, given[queue]) for queue in first if any(given[queue])]
     for demand in soft:
-        give(demand, demand.wants)
+        give(demand, demand.wanted)
     for guest in (False, True):
-        some = [d for d in demands if d.kind is Kind.ELASTIC and d.guest is guest]
-        share(some, lambda d: d.wants)
-    order = [d.queue for d in soft] + [d.queue for d in demands if d.kind is Kind.ELASTIC]
+        some = [d for d in demands if d.kind is QueueKind.ELASTIC and d.is_best_effort is guest]
+        share(some, lambda d: d.wanted)
+    order = [d.queue for d in soft] + [d.queue for d in demands if d.kind is QueueKind.ELASTIC]
     return before, [(queue, given[queue]) for queue in order]
 
 
-def _least(one: Vector, other: Vector) -> Vector:
+def _elementwise_min(one: Vector, other: Vector) -> Vector:
     return tuple(map(min, one, other))
 
 
-def spare_order(demands: Iterable[Demand], share: Callable[[Demand], float]) -> list[str]:
+def spare_capacity_order(
+    demands: Iterable[QueueDemand], share: Callable[[QueueDemand], float]
+) -> list[str]:
     """Step 7: who may use idle granted room first: urgent work, then the least served.
 
     Guests come after everybody else.
     """
-    order = sorted(demands, key=lambda d: (d.guest, -d.urgency, share(d), d.queue))
+    order = sorted(demands, key=lambda d: (d.is_best_effort, -d.urgency, share(d), d.queue))
     return [d.queue for d in order]
--- a/src/chalkgrade/sharing/floor.py
+++ b/src/chalkgrade/sharing/cluster_snapshot.py
@@ -10,7 +10,7 @@
 from chalkgrade.vectors import ZERO, Vector, fits, minus, plus
 
 
-class Floor:
+class ClusterSnapshot:
     """Machines as slots, made anew for each round from what they report.
 
     `least`: CPUs of the smallest task that may start; machines with less are full.
@@ -24,16 +24,16 @@
         self.queues = queues
         self.now = now
         self.slots: list[Slot] = []  # machines with room
-        self.full: list[Machine] = []  # usable machines without
+        self.full_machines: list[Machine] = []  # usable machines without
         self.zones: set[str] = set()
-        self.known: dict[str, float] = defaultdict(float)  # image -> CPUs of machines with it
+        self.image_cpus: dict[str, float] = defaultdict(float)  # image -> CPUs of machines with it
         # Tasks by job that are present somewhere without our doing.
-        self.strange: dict[str, set[int]] = defaultdict(set)
-        self._every: list[Slot] | None = None
-        self._waits: dict[object, list[tuple[float, str, Slot]]] = {}
-        self.capacity = self._look(least)
+        self.unknown_tasks: dict[str, set[int]] = defaultdict(set)
+        self._all_slots: list[Slot] | None = None
+        self._slots_by_wait: dict[object, list[tuple[float, str, Slot]]] = {}
+        self.capacity = self._scan_machines(least)
 
-    def _look(self, least: float) -> Vector:
+    def _scan_machines(self, least: float) -> Vector:
         """Sort the usable machines by whether anything fits them; all their room."""
         capacity = ZERO
         counts: dict[str, int] = defaultdict(int)
@@ -43,22 +43,22 @@
             for entry in strangers:
                 name, _, index = entry.task.rpartition("/")
                 if index.isdigit():
-                    self.strange[name].add(int(index))
+                    self.unknown_tasks[name].add(int(index))
             if flavor is None or strangers or not self.fleet.usable(machine):
                 continue
             counts[machine.hosttype] += 1
             self.zones.add(machine.site)
             for image in machine.images:
-                self.known[image] += flavor.vcpus
+                self.image_cpus[image] += flavor.vcpus
             if flavor.vcpus - machine.used[0] + 1e-9 >= least:
                 self.slots.append(self._slot(machine))
             else:
-                self.full.append(machine)
-        self.queues.near = dict(self.known)
+                self.full_machines.append(machine)
+        self.queues.image_cpus = dict(self.image_cpus)
         for hosttype, count in counts.items():
             capacity = plus(capacity, tuple(a * count for a in self.flavors[hosttype].room))
-        peak = self.queues.peak_room
-        self.queues.peak_room = tuple(max(a, b) for a, b in zip(peak, capacity, strict=True))
+        peak = self.queues.peak_capacity
+        self.queues.peak_capacity = tuple(max(a, b) for a, b in zip(peak, capacity, strict=True))
         return capacity
 
     def _slot(self, machine: Machine) -> Slot:
@@ -83,11 +83,14 @@
             lambda: [self.occupant(attempt) for attempt in machine.attempts.values()],
         )
 
-    def every(self) -> list[Slot]:
+    def all_slots(self) -> list[Slot]:
         """With the machines that are full: looked at only where room has to be made."""
-        if self._every is None:
-            self._every = [*self.slots, *(self._slot(machine) for machine in self.full)]
-        return self._every
+        if self._all_slots is None:
+            self._all_slots = [
+                *self.slots,
+                *(self._slot(machine) for machine in self.full_machines),
+            ]
+        return self._all_slots
 
     def occupant(self, attempt: Attempt) -> Occupant:
         spec = attempt.job.spec
@@ -95,11 +98,11 @@
         lost = min(ran, spec.flushS) if spec.savepointS > 0 else ran
         if not attempt.since and attempt.decided:
             # A fetch is given up with the last task that waits for it.
-            lost = min(self.now - attempt.decided, self.queues.fetch_s(attempt.job))
+            lost = min(self.now - attempt.decided, self.queues.image_fetch_s(attempt.job))
         if spec.shape == "gang":
             lost *= spec.tasks  # the others can't go on without it
         stopping = attempt.kill_at is not None
-        left = spec.flushS + 1.0 if stopping else self.queues.left_s(attempt, self.now)
+        left = spec.flushS + 1.0 if stopping else self.queues.remaining_run_s(attempt, self.now)
         return Occupant(
             attempt.name,
             attempt.number,
@@ -113,17 +116,17 @@
             attempt.guarded,
         )
 
-    def fitting(self, spec: JobSpec) -> list[tuple[float, str, Slot]]:
+    def suitable_slots(self, spec: JobSpec) -> list[tuple[float, str, Slot]]:
         """All machines a job may use, the soonest to have room first; once a shape and round."""
         key = spec.suits
-        if key not in self._waits:
-            self._waits[key] = sorted(
+        if key not in self._slots_by_wait:
+            self._slots_by_wait[key] = sorted(
                 (
                     (wait_s(spec, slot), slot.name, slot)
-                    for slot in self.every()
+                    for slot in self.all_slots()
                     if allowed(spec, slot.hosttype, slot.site, slot.standby)
                     and fits(spec.room, slot.total)
                 ),
                 key=lambda entry: entry[:2],
             )
-        return self._waits[key]
+        return self._slots_by_wait[key]
--- a/src/chalkgrade/sharing/largest.py
+++ b/src/chalkgrade/sharing/largest_jobs.py
@@ -14,12 +14,12 @@
 from chalkgrade.record.jobs import Job
 
 
-def size(job: Job) -> float:
+def requested_cpus(job: Job) -> float:
     """CPUs that all of it asks for."""
     return job.spec.tasks * job.spec.vcpus
 
 
-def overdue(
+def overdue_largest_jobs(
     jobs: Iterable[Job], wall: float, slack: Callable[[Job], float]
 ) -> dict[str, list[Job]]:
     """By queue, those of a class's largest unfinished jobs that have waited for long.
@@ -36,9 +36,9 @@
     out: dict[str, list[Job]] = defaultdict(list)
     for mates in of_class.values():
         count = math.ceil(constants.LARGEST_PART * len(mates))
-        least = heapq.nlargest(count, map(size, mates))[-1]
+        least = heapq.nlargest(count, map(requested_cpus, mates))[-1]
         for job in mates:
-            if size(job) < least or wall - job.open_at <= constants.LARGEST_WAIT_S:
+            if requested_cpus(job) < least or wall - job.open_at <= constants.LARGEST_WAIT_S:
                 continue
             in_time = 0 <= slack(job) < math.inf
             if not in_time or wall - job.open_at > constants.LARGEST_LATEST_S:
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -19,11 +19,11 @@
 from chalkgrade.record.changes import Kept
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.settings import Objective, Settings
-from chalkgrade.sharing.shares import Declaration
+from chalkgrade.sharing.bopf import BurstDeclaration
 from chalkgrade.vectors import Vector
 
 SHARES_KEY = "cg/shares"
-QUEUE_B = 250  # bytes; a record of a queue beside its name, numbers rounded
+QUEUE_RECORD_BYTES = 250  # bytes; a record of a queue beside its name, numbers rounded
 ZERO: Vector = (0.0, 0.0, 0.0)
 
 
@@ -40,7 +40,7 @@
     kind: str = "elastic"
 
 
-class Shares(msgspec.Struct):
+class QueueRecords(msgspec.Struct):
     queues: dict[str, QueueRecord] = {}
 
 
@@ -70,13 +70,13 @@
         self.settings = settings
         self.flavors = flavors
         self.clock = clock
-        self._aimed = {aim.jobclass for aim in settings.cluster.objectives}
-        self.shares = Shares()
-        self._part_b = value_b
-        self._part: dict[str, int] = {}  # queue -> the part that holds its record
-        self._filled: list[int] = []  # bytes by part
+        self._classes_with_objectives = {aim.jobclass for aim in settings.cluster.objectives}
+        self.stored = QueueRecords()
+        self._max_value_bytes = value_b
+        self._part_of_queue: dict[str, int] = {}  # queue -> the part that holds its record
+        self._part_bytes: list[int] = []  # bytes by part
         count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / value_b))
-        self.kept = [
+        self.stored_parts = [
             Kept(
                 f"{SHARES_KEY}/{number}" if number else SHARES_KEY,
                 self._load,
@@ -84,42 +84,42 @@
             )
             for number in range(count)
         ]
-        self.near: dict[str, float] = {}  # image -> CPUs of the machines that hold it
-        self.peak_room: Vector = ZERO  # the most room seen to report: C in admission
+        self.image_cpus: dict[str, float] = {}  # image -> CPUs of the machines that hold it
+        self.peak_capacity: Vector = ZERO  # the most room seen to report: C in admission
 
     def _load(self, raw: bytes) -> None:
         """Take over one part; the version before knows the first only, and may know better."""
-        for name, record in msgspec.json.decode(raw, type=Shares).queues.items():
-            known = self.shares.queues.get(name)
+        for name, record in msgspec.json.decode(raw, type=QueueRecords).queues.items():
+            known = self.stored.queues.get(name)
             if known is None or record.last > known.last:
-                self.shares.queues[name] = record
+                self.stored.queues[name] = record
 
-    def _dump(self, number: int) -> Shares:
-        names = [name for name, part in self._part.items() if part == number]
-        return Shares({name: _rounded(self.shares.queues[name]) for name in names})
+    def _dump(self, number: int) -> QueueRecords:
+        names = [name for name, part in self._part_of_queue.items() if part == number]
+        return QueueRecords({name: _rounded(self.stored.queues[name]) for name in names})
 
-    def _assign(self) -> None:
+    def _assign_parts(self) -> None:
         """Give each queue a part that has room; what has none is not kept, only estimated anew."""
-        for name in self.shares.queues.keys() - self._part.keys():
-            size = QUEUE_B + 2 * len(name)
+        for name in self.stored.queues.keys() - self._part_of_queue.keys():
+            size = QUEUE_RECORD_BYTES + 2 * len(name)
             part = next(
-                (n for n, b in enumerate(self._filled) if b + size <= self._part_b),
-                len(self._filled),
+                (n for n, b in enumerate(self._part_bytes) if b + size <= self._max_value_bytes),
+                len(self._part_bytes),
             )
-            if part == len(self._filled):
-                self._filled.append(0)
-            self._filled[part] += size
-            self._part[name] = part
+            if part == len(self._part_bytes):
+                self._part_bytes.append(0)
+            self._part_bytes[part] += size
+            self._part_of_queue[name] = part
 
-    def touch(self, queue: str) -> None:
+    def mark_changed(self, queue: str) -> None:
         """A queue's record is to be written: its class has changed."""
-        self._assign()
-        part = self._part[queue]
-        if part < len(self.kept):
-            self.kept[part].touch()
+        self._assign_parts()
+        part = self._part_of_queue[queue]
+        if part < len(self.stored_parts):
+            self.stored_parts[part].touch()
 
-    def record(self, job: Job) -> QueueRecord:
-        return self.shares.queues.setdefault(job.queue, QueueRecord())
+    def queue_record(self, job: Job) -> QueueRecord:
+        return self.stored.queues.setdefault(job.queue, QueueRecord())
 
     def observe_submission(self, job: Job) -> None:
         """Derive a queue's declaration from what is submitted.
@@ -127,11 +127,11 @@
         Jobs that come together are one burst. Taken one by one, they would
         claim a period of a moment, fail the safety check, and lose their rate.
         """
-        record, spec = self.record(job), job.spec
+        record, spec = self.queue_record(job), job.spec
         work = spec.tasks * max(spec.expectedS, 1.0) * record.correction
         more = tuple(amount * work for amount in spec.room)
         alpha = constants.ESTIMATE_ALPHA
-        due = spec.dueS or min((a.within_s for a in self._aims(job, "finished")), default=0.0)
+        due = spec.dueS or min((a.within_s for a in self._objectives(job, "finished")), default=0.0)
         if record.last == 0.0:
             record.began, record.period = job.open_at, max(due, constants.BURST_GAP_S)
             record.deadline = due
@@ -149,7 +149,7 @@
     def observe_run(self, job: Job, seconds: float) -> None:
         if job.spec.expectedS <= 0:
             return
-        record = self.record(job)
+        record = self.queue_record(job)
         ratio = seconds / job.spec.expectedS
         ratio = min(constants.CORRECTION_MAX, max(constants.CORRECTION_MIN, ratio))
         # Runs of one job are alike: each counts as part of one observation.
@@ -157,42 +157,42 @@
         record.correction += alpha * (ratio - record.correction)
 
     @property
-    def last_at(self) -> float:
+    def last_submission_at(self) -> float:
         """Wall time of the last submission of all."""
-        return max((record.last for record in self.shares.queues.values()), default=0.0)
+        return max((record.last for record in self.stored.queues.values()), default=0.0)
 
-    def declarations(self) -> dict[str, Declaration | None]:
-        out: dict[str, Declaration | None] = {}
-        for name, record in self.shares.queues.items():
+    def declarations(self) -> dict[str, BurstDeclaration | None]:
+        out: dict[str, BurstDeclaration | None] = {}
+        for name, record in self.stored.queues.items():
             bursty = record.deadline > 0 and record.period > 0
             demand = record.burst if any(record.burst) else record.coming
-            out[name] = Declaration(demand, record.period, record.deadline) if bursty else None
+            out[name] = BurstDeclaration(demand, record.period, record.deadline) if bursty else None
         for burst in self.settings.operator.bursts:
             demand = (burst.cpu_seconds, 0.0, 0.0)
-            out[f"{burst.team}/{burst.jobclass}"] = Declaration(
+            out[f"{burst.team}/{burst.jobclass}"] = BurstDeclaration(
                 demand, burst.period_s, burst.deadline_s
             )
         return out
 
-    def run_s(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """Expected run time of one task, corrected by what was observed."""
-        record = self.shares.queues.get(job.queue)
+        record = self.stored.queues.get(job.queue)
         return max(1.0, job.spec.expectedS * (record.correction if record else 1.0))
 
-    def left_s(self, attempt: Attempt, now: float) -> float:
+    def remaining_run_s(self, attempt: Attempt, now: float) -> float:
         """How long an attempt will still run; an overdue one, for a part of what it has run."""
-        run_s = self.run_s(attempt.job)
+        run_s = self.expected_run_s(attempt.job)
         if not attempt.since:
             gone = now - attempt.decided if attempt.decided else 0.0
-            return run_s + max(0.0, self.fetch_s(attempt.job) - gone)
+            return run_s + max(0.0, self.image_fetch_s(attempt.job) - gone)
         ran = now - attempt.since
         return max(run_s - ran, constants.OVERDUE_PART * ran)
 
-    def _aims(self, job: Job, kind: str) -> list[Objective]:
+    def _objectives(self, job: Job, kind: str) -> list[Objective]:
         aims = self.settings.cluster.objectives
         return [a for a in aims if a.jobclass == job.spec.jobclass and a.kind == kind]
 
-    def order(self, job: Job) -> tuple[float, ...]:
+    def scheduling_key(self, job: Job) -> tuple[float, ...]:
         """Urgency first; then bursts that can still meet a bound, shortest remaining first.
 
         Step 5 serves a soft burst until its deadline: past it, a burst yields to
@@ -200,8 +200,8 @@
         of all jobs end none. Jobs without any bound keep their order of arrival.
         """
         age = self.clock.wall() - job.open_at
-        run_s = self.run_s(job)
-        bounds = self.bounds(job)
+        run_s = self.expected_run_s(job)
+        bounds = self.completion_bounds_s(job)
         missed = sum(1 for bound in bounds if age + run_s > bound)
         remaining = 0.0
         if missed < len(bounds):
@@ -209,15 +209,15 @@
             # is nowhere near costs others more than its tasks' run time.
             waiting = len(job.waiting)
             afar = max(
-                0.0, waiting - self.near.get(job.spec.bundle, 0.0) / max(job.spec.vcpus, 1e-3)
+                0.0, waiting - self.image_cpus.get(job.spec.bundle, 0.0) / max(job.spec.vcpus, 1e-3)
             )
-            work = (waiting + len(job.live)) * run_s + afar * self.fetch_s(job)
+            work = (waiting + len(job.live)) * run_s + afar * self.image_fetch_s(job)
             remaining = work * max(job.spec.vcpus, 1e-3)
         elif bounds:
             remaining = 0.0 if job.live or job.done else 1.0
-        return self.guest(job), -job.spec.rank, missed, remaining, job.open_at
+        return self.is_best_effort(job), -job.spec.rank, missed, remaining, job.open_at
 
-    def guest(self, job: Job) -> bool:
+    def is_best_effort(self, job: Job) -> bool:
         """Whether a job may have only what nobody else wants.
 
         A team without a guarantee beside teams that have one; and, whatever its
@@ -232,76 +232,84 @@
         aims = self.settings.cluster.objectives
         if job.piped:
             return False  # what needs it, or will, has aims
-        return bool(aims) and job.spec.dueS is None and job.spec.jobclass not in self._aimed
+        return (
+            bool(aims)
+            and job.spec.dueS is None
+            and job.spec.jobclass not in self._classes_with_objectives
+        )
 
-    def dues(self, job: Job) -> list[float]:
+    def due_times(self, job: Job) -> list[float]:
         """Wall times by which the users count a job with a deadline as served."""
         due = job.spec.dueS
         if due is None:
             return []
-        return [job.at + due * a.times for a in self._aims(job, "deadline")] or [job.at + due]
+        return [job.at + due * a.times for a in self._objectives(job, "deadline")] or [job.at + due]
 
-    def takes_s(self, job: Job) -> float:
+    def expected_makespan_s(self, job: Job) -> float:
         """From the moment in which a job may run until it is over, with room for all of it.
 
         Its tasks' run times differ, and the job ends with the last of them.
         """
-        return constants.STAGE_S + self.lead_s(job) + constants.LAST_TASK * self.run_s(job)
+        return (
+            constants.STAGE_S
+            + self.start_delay_s(job)
+            + constants.LAST_TASK * self.expected_run_s(job)
+        )
 
-    def ends_in_s(self, job: Job) -> float:
+    def remaining_makespan_s(self, job: Job) -> float:
         """How long a job that may run still takes, if what waits of it starts at once."""
         now = self.clock.now()
-        left = [self.left_s(attempt, now) for attempt in job.live.values()]
+        left = [self.remaining_run_s(attempt, now) for attempt in job.live.values()]
         if len(job.waiting):
-            left.append(self.lead_s(job) + self.run_s(job))
+            left.append(self.start_delay_s(job) + self.expected_run_s(job))
         return constants.STAGE_S + max(left, default=0.0)
 
-    def bounds(self, job: Job) -> list[float]:
+    def completion_bounds_s(self, job: Job) -> list[float]:
         """The times from when it could run by which it should be over.
 
         Its own deadline counts from its submission, however long it waited for others; that
         of a job which needs it lies before that one's by what comes between (`pipelines`).
         """
-        dues = self.dues(job) or job.due_at
+        dues = self.due_times(job) or job.due_at
         if dues:
             return [due - job.open_at for due in dues]
-        return [a.within_s for a in self._aims(job, "finished")]
+        return [a.within_s for a in self._objectives(job, "finished")]
 
-    def fetch_s(self, job: Job) -> float:
+    def image_fetch_s(self, job: Job) -> float:
         """How long a machine of the slowest kind fetches a job's image."""
         pull = min((flavor.pullGbPerS for flavor in self.flavors.values()), default=1.0)
         return job.spec.pullGb / max(pull, 1e-6)
 
-    def lead_s(self, job: Job) -> float:
+    def start_delay_s(self, job: Job) -> float:
         """From deciding an attempt to its start: the image, and the next report."""
-        return self.fetch_s(job) + self.settings.cluster.workers.report_s / 2
+        return self.image_fetch_s(job) + self.settings.cluster.workers.report_s / 2
 
-    def homely(self, job: Job) -> bool:
+    def prefers_local_image(self, job: Job) -> bool:
         """Whether a job should look for its image first, at the cost of the order of jobs."""
-        return self.fetch_s(job) > constants.NEAR_RATIO * self.run_s(job)
+        return self.image_fetch_s(job) > constants.NEAR_RATIO * self.expected_run_s(job)
 
-    def slack(self, job: Job) -> float:
+    def slack_s(self, job: Job) -> float:
         """How long the last of a job's tasks may wait, for the next bound it can still meet.
 
         Infinite for a job without bounds, negative when all are missed.
         """
-        run_s = self.run_s(job)
-        latest = [bound - run_s for bound in self.bounds(job)]
-        latest += [aim.within_s for aim in self._aims(job, "wait")]
+        run_s = self.expected_run_s(job)
+        latest = [bound - run_s for bound in self.completion_bounds_s(job)]
+        latest += [aim.within_s for aim in self._objectives(job, "wait")]
         if not latest:
             return float("inf")
-        gone = self.clock.wall() - job.open_at + self.lead_s(job)
+        gone = self.clock.wall() - job.open_at + self.start_delay_s(job)
         return min((at - gone for at in latest if at >= gone), default=-1.0)
 
-    def needed(self, job: Job, part: float = 1.0) -> int:
+    def required_concurrency(self, job: Job, part: float = 1.0) -> int:
         """How many of a job's tasks must run at once for its next bound (step 4: d over t).
 
         Bursts of a queue overlap here, so that the fixed rate of a queue is the
         sum of what its bursts need now, whole tasks and whole waves of them. They
         are laid into a part of the time that is left.
         """
-        slack = self.slack(job)
+        slack = self.slack_s(job)
         if slack < 0 or slack == float("inf"):
             return 0
-        waves = int(part * slack / self.run_s(job)) + 1
+        waves = int(part * slack / self.expected_run_s(job)) + 1
         return math.ceil((job.startable + len(job.live)) / waves)
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -18,19 +18,31 @@
 from chalkgrade.record.jobs import Job
 from chalkgrade.seams.gates import Gate, Gates
 from chalkgrade.settings import Team
-from chalkgrade.sharing.demands import Demands
-from chalkgrade.sharing.floor import Floor
-from chalkgrade.sharing.gates import NO_LIMIT, KeptRoom, Maxima, Pauses, Zones
-from chalkgrade.sharing.largest import overdue
+from chalkgrade.sharing.bopf import (
+    QueueDemand,
+    allocate,
+    fair_shares,
+    round_up_to_tasks,
+    spare_capacity_order,
+)
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
+from chalkgrade.sharing.constraints import (
+    UNLIMITED,
+    JobBackoff,
+    SlotReservations,
+    TeamLimits,
+    ZoneConstraints,
+)
+from chalkgrade.sharing.demands import DemandCalculator
+from chalkgrade.sharing.largest_jobs import overdue_largest_jobs
+from chalkgrade.sharing.preemption import Preemptor
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.shares import Demand, allocate, fair_shares, spare_order, whole_tasks
-from chalkgrade.sharing.stops import MakingRoom
 from chalkgrade.vectors import ZERO, Vector, dominant, fits, minus, plus
 
 log = logging.getLogger("chalkgrade.sharing")
 
 
-class Round:
+class SchedulingRound:
     """Places what can be placed. `gates`: those of other subsystems."""
 
     def __init__(
@@ -51,14 +63,20 @@
         self.queues = queues
         self.now = clock.now()
         self.preempt = preempt
-        self.maxima, self.zones, self.kept = Maxima(teams, queues), Zones(fleet), KeptRoom()
+        self.team_limits, self.zone_constraints, self.reservations = (
+            TeamLimits(teams, queues),
+            ZoneConstraints(fleet),
+            SlotReservations(),
+        )
         # A seat comes before the maximum: for work without one nobody is stopped.
-        self.gates = Gates([Pauses(), *gates, self.maxima, self.zones, self.kept])
-        self.held: dict[str, Vector] = defaultdict(lambda: ZERO)
-        self.patient = True  # work may wait for machines that hold its image
+        self.gates = Gates(
+            [JobBackoff(), *gates, self.team_limits, self.zone_constraints, self.reservations]
+        )
+        self.queue_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
+        self.waits_for_images = True  # work may wait for machines that hold its image
         self._pickers: dict[object, Picker] = {}
-        self.stopped = 0  # running tasks that were told to stop
-        self.guarding = False  # placing for queues that starve
+        self.preempted_count = 0  # running tasks that were told to stop
+        self.placing_starved = False  # placing for queues that starve
 
     def run(self) -> int:
         """Place what can be placed; how many attempts were decided."""
@@ -67,38 +85,49 @@
         for job in self.jobs.values():
             if job.live:
                 taken = tuple(a * len(job.live) for a in job.spec.room)
-                self.held[job.group] = plus(self.held[job.group], taken)
+                self.queue_usage[job.group] = plus(self.queue_usage[job.group], taken)
             if self.gates.ready(job):
                 ready[job.group].append(job)
         if not ready:
             return 0
-        self.least = min(job.spec.rank for jobs in ready.values() for job in jobs)
+        self.lowest_urgency = min(job.spec.rank for jobs in ready.values() for job in jobs)
         rooms = {job.spec.room for jobs in ready.values() for job in jobs}
         least_cpus = min(room[0] for room in rooms)
-        self.floor = Floor(self.fleet, self.flavors, self.queues, least_cpus, self.now)
-        if not self.floor.slots and not self.floor.full:
+        self.snapshot = ClusterSnapshot(self.fleet, self.flavors, self.queues, least_cpus, self.now)
+        if not self.snapshot.slots and not self.snapshot.full_machines:
             return 0
-        self.making = MakingRoom(
-            self.floor, self.queues, self.gates, self.maxima, self.kept, rooms, self.preempt
+        self.preemptor = Preemptor(
+            self.snapshot,
+            self.queues,
+            self.gates,
+            self.team_limits,
+            self.reservations,
+            rooms,
+            self.preempt,
         )
-        placed = self._fill(ready)
-        self.stopped = self.making.stopped
+        placed = self._place_ready_jobs(ready)
+        self.preempted_count = self.preemptor.preempted_count
         return placed
 
-    def _fill(self, ready: dict[str, list[Job]]) -> int:
+    def _place_ready_jobs(self, ready: dict[str, list[Job]]) -> int:
         """Guaranteed work, then steps 4 to 7."""
-        capacity = self.floor.capacity
-        self.demands = Demands(
-            self.queues, self.teams, self.floor, self.held, self.least, self.gates
+        capacity = self.snapshot.capacity
+        self.demand_calculator = DemandCalculator(
+            self.queues,
+            self.teams,
+            self.snapshot,
+            self.queue_usage,
+            self.lowest_urgency,
+            self.gates,
         )
-        placed = self._place_first()
+        placed = self._place_preassigned()
         for jobs in ready.values():
-            jobs.sort(key=self.queues.order)
-        placed += self._fill_guarantees(ready)
-        demands = self.demands.of(ready)
-        self.guarding = True
-        placed += self._fill_starving(ready, demands, capacity)
-        self.guarding = False
+            jobs.sort(key=self.queues.scheduling_key)
+        placed += self._place_guaranteed(ready)
+        demands = self.demand_calculator.by_queue(ready)
+        self.placing_starved = True
+        placed += self._place_starved(ready, demands, capacity)
+        self.placing_starved = False
         first, rest = allocate(list(demands.values()), capacity)
         for _, group in itertools.groupby(first, key=lambda entry: demands[entry[0]].urgency):
             # What bounds need, shortest remaining first: in an overload, parts of all
@@ -106,27 +135,36 @@
             alike = list(group)
             for local in (True, False):
                 for queue, grant in alike:
-                    budget = minus(grant, self.held[queue])
-                    placed += self._place_all(ready[queue], budget, not local, local)[0]
+                    budget = minus(grant, self.queue_usage[queue])
+                    placed += self._place_within_budget(ready[queue], budget, not local, local)[0]
         first_jobs = [job for queue, _ in first for job in ready[queue]]
-        self.making.stop_savers(sorted(first_jobs, key=self.queues.order), self.demands.needed)
+        self.preemptor.preempt_checkpointed(
+            sorted(first_jobs, key=self.queues.scheduling_key),
+            self.demand_calculator.tasks_needed_now,
+        )
         for queue, grant in rest:
-            budget = minus(grant, self.held[queue])
-            placed += self._fill_near_first(ready[queue], budget, reserve=True)
-        order = spare_order(demands.values(), lambda d: dominant(self.held[d.queue], capacity))
-        ranks = itertools.groupby(order, key=lambda q: (demands[q].guest, demands[q].urgency))
+            budget = minus(grant, self.queue_usage[queue])
+            placed += self._place_preferring_local(ready[queue], budget, reserve=True)
+        order = spare_capacity_order(
+            demands.values(), lambda d: dominant(self.queue_usage[d.queue], capacity)
+        )
+        ranks = itertools.groupby(
+            order, key=lambda q: (demands[q].is_best_effort, demands[q].urgency)
+        )
         for (_, urgency), names in ranks:
             # Urgent work that is too late for its bounds would else never see two CPUs
             # of one machine free at once: the small tasks behind it take each of them.
             mates = [job for queue in names for job in ready[queue]]
-            placed += self._fill_near_first(mates, None, reserve=urgency > self.least)
+            placed += self._place_preferring_local(
+                mates, None, reserve=urgency > self.lowest_urgency
+            )
         # What is left would idle: fetching images there takes nothing from anybody.
-        self.patient = False
+        self.waits_for_images = False
         for queue in order:
-            placed += self._place_all(ready[queue], None, False)[0]
+            placed += self._place_within_budget(ready[queue], None, False)[0]
         return placed
 
-    def _fill_near_first(self, jobs: list[Job], budget: Vector | None, reserve: bool) -> int:
+    def _place_preferring_local(self, jobs: list[Job], budget: Vector | None, reserve: bool) -> int:
         """Beyond what bounds need, work goes first to where its image is.
 
         Fetching can take as long as running, and the CPU idles meanwhile. Only
@@ -136,17 +174,19 @@
         for _, group in itertools.groupby(jobs, key=lambda job: job.spec.rank):
             mates = list(group)
             for local in (True, False):
-                count, budget = self._place_all(mates, budget, reserve and not local, local)
+                count, budget = self._place_within_budget(
+                    mates, budget, reserve and not local, local
+                )
                 placed += count
         return placed
 
-    def _fill_guarantees(self, ready: dict[str, list[Job]]) -> int:
+    def _place_guaranteed(self, ready: dict[str, list[Job]]) -> int:
         """A team's jobs that fit within its guarantee need not wait on other teams."""
         within = []
         for team in self.teams.values():
             if team.cpus <= 0 and team.gpus <= 0:
                 continue
-            room: Vector = (team.cpus or NO_LIMIT, team.gpus or NO_LIMIT, NO_LIMIT)
+            room: Vector = (team.cpus or UNLIMITED, team.gpus or UNLIMITED, UNLIMITED)
             for job in sorted(
                 (
                     j
@@ -166,15 +206,15 @@
         names = {j.name for jobs in ready.values() for j in jobs}
         chosen = [job for job in within if job.name in names]
         # Over all teams: an urgent job must not lose the first machine to another team's batch.
-        chosen.sort(key=self.queues.order)
-        self.making.guaranteed = True
-        placed = self._fill_near_first(chosen, None, reserve=True)
-        self.making.return_borrowed(chosen)
-        self.making.guaranteed = False
+        chosen.sort(key=self.queues.scheduling_key)
+        self.preemptor.within_guarantee = True
+        placed = self._place_preferring_local(chosen, None, reserve=True)
+        self.preemptor.reclaim_borrowed(chosen)
+        self.preemptor.within_guarantee = False
         return placed
 
-    def _fill_starving(
-        self, ready: dict[str, list[Job]], demands: dict[str, Demand], capacity: Vector
+    def _place_starved(
+        self, ready: dict[str, list[Job]], demands: dict[str, QueueDemand], capacity: Vector
     ) -> int:
         """Who has waited for long gets half of its fair share, whatever the urgency of others.
 
@@ -194,11 +234,11 @@
         placed, given = 0, ZERO
         most = tuple(constants.STARVE_MOST * a for a in capacity)
         fair = fair_shares(demands.values(), self.teams, capacity)
-        elders = overdue(self.jobs.values(), wall, self.queues.slack)
+        elders = overdue_largest_jobs(self.jobs.values(), wall, self.queues.slack_s)
         served = []
         for queue in sorted(late, key=oldest.__getitem__):
-            half = whole_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
-            held = dominant(self.held[queue], capacity)
+            half = round_up_to_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
+            held = dominant(self.queue_usage[queue], capacity)
             if held > constants.STARVE_BELOW * dominant(half, capacity):
                 served.append(queue)
                 continue
@@ -206,17 +246,17 @@
             if not fits(given, most):
                 break
             if elders[queue]:
-                placed += self._fill_largest(elders[queue], half)
-            left = minus(half, self.held[queue])
-            placed += self._fill_near_first(ready[queue], left, False)
-            self._keep_for_wide(ready[queue], minus(half, self.held[queue]))
+                placed += self._place_largest_jobs(elders[queue], half)
+            left = minus(half, self.queue_usage[queue])
+            placed += self._place_preferring_local(ready[queue], left, False)
+            self._reserve_for_wide_job(ready[queue], minus(half, self.queue_usage[queue]))
         for queue in served:
             # Its own room, in another order: after those who lack theirs.
             if elders[queue]:
-                placed += self._fill_largest(elders[queue], self.held[queue])
+                placed += self._place_largest_jobs(elders[queue], self.queue_usage[queue])
         return placed
 
-    def _fill_largest(self, jobs: list[Job], room: Vector) -> int:
+    def _place_largest_jobs(self, jobs: list[Job], room: Vector) -> int:
         """The longest-waiting of a queue's largest jobs until it is done, then the next.
 
         Together they hold no more than a part of the queue's room, one task at least. The part
@@ -236,44 +276,44 @@
         for job in jobs:
             held = plus(held, tuple(a * len(job.live) for a in job.spec.room))
         left = minus(part, held)
-        placed, left_over = self._place_all(waiting, left, False, True)
-        more, left_over = self._place_all(waiting, left_over, False)
+        placed, left_over = self._place_within_budget(waiting, left, False, True)
+        more, left_over = self._place_within_budget(waiting, left_over, False)
         if left_over is not None:
-            self._keep_for_wide(waiting, left_over)
+            self._reserve_for_wide_job(waiting, left_over)
         return placed + more
 
-    def _keep_for_wide(self, jobs: list[Job], left: Vector) -> None:
+    def _reserve_for_wide_job(self, jobs: list[Job], left: Vector) -> None:
         """What of its part has found no machine keeps the machines that have room soonest."""
         wide = next((j for j in jobs if j.startable and fits(j.spec.room, left)), None)
         if wide is not None:
             rooms = zip(left, wide.spec.room, strict=True)
             count = min(int(a / want) for a, want in rooms if want > 0)
-            self.making.drain(wide, count)
+            self.preemptor.reserve_for_starved(wide, count)
 
-    def _place_first(self) -> int:
+    def _place_preassigned(self) -> int:
         """What a gate has a machine for, as far as the other gates let it start."""
         wanted, placed = self.gates.first(), 0
-        slots = {slot.name: slot for slot in self.floor.slots} if wanted else {}
+        slots = {slot.name: slot for slot in self.snapshot.slots} if wanted else {}
         for job, index, name in wanted:
             slot = slots.get(name)
             if (
                 slot is not None
                 and index in job.waiting
-                and index not in self.floor.strange.get(job.name, ())
+                and index not in self.snapshot.unknown_tasks.get(job.name, ())
                 and self.gates.ready(job)
                 and self.gates.most(job, 1) > 0
-                and slot.site in self.gates.sites(job, self.floor.zones)
+                and slot.site in self.gates.sites(job, self.snapshot.zones)
                 and fits(job.spec.room, slot.free)
                 and self.gates.opens(job, slot)
             ):
                 occupy(slot, job.spec)
-                self._place(job, index, slot)
+                self._start_attempt(job, index, slot)
                 placed += 1
         return placed
 
     # -- what goes where --------------------------------------------------------------
 
-    def _place_all(
+    def _place_within_budget(
         self,
         jobs: list[Job],
         budget: Vector | None,
@@ -289,7 +329,11 @@
             spec = job.spec
             if budget is not None and not fits(spec.room, budget):
                 continue
-            if not local and self.patient and self.demands.stays(job):
+            if (
+                not local
+                and self.waits_for_images
+                and self.demand_calculator.waits_for_local_image(job)
+            ):
                 continue
             if spec.shape == "gang":
                 # All at once, wherever there is room.
@@ -297,7 +341,7 @@
                 if budget is not None and count:
                     budget = minus(budget, tuple(a * count for a in spec.room))
             else:
-                near = local and self.queues.homely(job)
+                near = local and self.queues.prefers_local_image(job)
                 count, budget = self._place_tasks(job, budget, reserve, near)
             placed += count
         return placed, budget
@@ -308,7 +352,7 @@
         """Place a job's tasks one by one until something is short; as `_place_all`."""
         spec, placed = job.spec, 0
         picker: Picker | None = None
-        skip = self.floor.strange.get(job.name, set())
+        skip = self.snapshot.unknown_tasks.get(job.name, set())
 
         def opens(slot: Slot) -> bool:
             return self.gates.opens(job, slot)
@@ -319,16 +363,16 @@
                 break  # all placed, or present somewhere without our doing: wait for that
             if budget is not None and not fits(spec.room, budget):
                 break
-            if self.gates.refused(job, 1, self.making):
+            if self.gates.refused(job, 1, self.preemptor):
                 break
             if picker is None:
                 picker = self._picker(job, near)
-            slot = picker.take(opens, self.gates.sites(job, self.floor.zones))
+            slot = picker.take(opens, self.gates.sites(job, self.snapshot.zones))
             if slot is None:
                 if reserve:
-                    self.making.reserve(job)
+                    self.preemptor.reserve_or_preempt(job)
                 break
-            self._place(job, index, slot)
+            self._start_attempt(job, index, slot)
             placed += 1
             if budget is not None:
                 budget = minus(budget, spec.room)
@@ -336,15 +380,15 @@
 
     def _picker(self, job: Job, near: bool) -> Picker:
         """The machines for a job's tasks: the same ranking for all jobs that are alike."""
-        spec, shunned = job.spec, self._shunned(job)
+        spec, shunned = job.spec, self._machines_to_avoid(job)
         if shunned or spec.oneZone or spec.spread:
-            return Picker(spec, self.floor.slots, shunned, near)
+            return Picker(spec, self.snapshot.slots, shunned, near)
         key = (spec.suits, spec.bundle, spec.pullGb, near)
         if key not in self._pickers:
-            self._pickers[key] = Picker(spec, self.floor.slots, (), near)
+            self._pickers[key] = Picker(spec, self.snapshot.slots, (), near)
         return self._pickers[key]
 
-    def _shunned(self, job: Job) -> Iterable[str]:
+    def _machines_to_avoid(self, job: Job) -> Iterable[str]:
         """Machines that it failed on a moment ago: they are taken last, not never.
 
         Where no other one fits, none is rented beside a machine that has room: it would wait
@@ -366,40 +410,40 @@
                 attempt.kill_at = attempt.kill_at or self.now
             return 0
         need: Vector = tuple(a * count for a in spec.room)
-        if self.floor.strange.get(job.name):
+        if self.snapshot.unknown_tasks.get(job.name):
             return 0
         if budget is not None and not fits(need, budget):
             return 0
-        if self.gates.refused(job, count, self.making):
+        if self.gates.refused(job, count, self.preemptor):
             return 0
-        sites = self.gates.sites(job, self.floor.zones)
+        sites = self.gates.sites(job, self.snapshot.zones)
         found = choose_all(
             spec,
             count,
-            [slot for slot in self.floor.slots if slot.site in sites],
-            self.zones.held(job),
-            self._shunned(job),
+            [slot for slot in self.snapshot.slots if slot.site in sites],
+            self.zone_constraints.tasks_by_zone(job),
+            self._machines_to_avoid(job),
             lambda slot: self.gates.opens(job, slot),
         )
         if found is None:
             if reserve:
-                self.making.reserve(job)
+                self.preemptor.reserve_or_preempt(job)
             return 0
         number = job.next_try()
         for index, slot in zip(list(job.waiting), found, strict=True):
             occupy(slot, spec)
-            self._place(job, index, slot, number)
+            self._start_attempt(job, index, slot, number)
         return count
 
-    def _place(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
+    def _start_attempt(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
         """Put a task on a slot whose room it has taken."""
         attempt = job.place(index, slot.name, number)
         attempt.decided = self.now
-        attempt.guarded = self.guarding
+        attempt.guarded = self.placing_starved
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.fleet.token, job.name, slot.name, attempt.label)
             log.debug("%s to %s", attempt.label, slot.name, extra=what)
         self.fleet.hold(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
-        self.held[job.group] = plus(self.held[job.group], job.spec.room)
+        self.queue_usage[job.group] = plus(self.queue_usage[job.group], job.spec.room)
         self.gates.took(job, slot.site)
--- a/src/chalkgrade/sharing/domain.py
+++ b/src/chalkgrade/sharing/term_context.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Domain:
+class TermContext:
     """A leader's jobs, machines and queues; `live`: whether it may decide anything now."""
 
     office: Office
@@ -19,4 +19,4 @@
     fleet: Fleet
     queues: Queues
     flavors: dict[str, Flavor]
-    live: Callable[[], bool]
+    is_serving: Callable[[], bool]
--- a/src/chalkgrade/sharing/standing.py
+++ b/src/chalkgrade/sharing/wait_reasons.py
@@ -14,20 +14,20 @@
 from chalkgrade.record.jobs import Job
 from chalkgrade.seams.gates import Gate, Gates
 from chalkgrade.settings import Team
-from chalkgrade.sharing.gates import Maxima, Pauses
+from chalkgrade.sharing.constraints import JobBackoff, TeamLimits
 from chalkgrade.sharing.queues import Queues
 
-STATE = "state service out of reach"
-WORKERS = "workers out of reach"
-BOOTING = "waiting for machines to boot"
-CAPACITY = "no capacity"
-IMAGE = "waiting where its image is"
-ROOM = "no room"
+REASON_STATE_UNREACHABLE = "state service out of reach"
+REASON_WORKERS_UNREACHABLE = "workers out of reach"
+REASON_BOOTING = "waiting for machines to boot"
+REASON_NO_CAPACITY = "no capacity"
+REASON_IMAGE_LOCALITY = "waiting where its image is"
+REASON_NO_ROOM = "no room"
 
-Standing = dict[tuple[str, str], int]  # class and reason -> tasks
+WaitReasonCounts = dict[tuple[str, str], int]  # class and reason -> tasks
 
 
-def standing(
+def count_wait_reasons(
     jobs: Iterable[Job],
     fleet: Fleet,
     teams: dict[str, Team],
@@ -37,10 +37,10 @@
     live: bool,
     now: float,
     outer: Sequence[Gate] = (),
-) -> Standing:
+) -> WaitReasonCounts:
     """How many tasks of each class wait for which reason, the one nearest its cause first."""
     known = list(jobs)
-    gates = Gates([Pauses(), *outer, Maxima(teams, queues)])
+    gates = Gates([JobBackoff(), *outer, TeamLimits(teams, queues)])
     gates.begin(known, now)
     waiting = [job for job in known if len(job.waiting) and not job.aborted and not job.aborting]
     usable: dict[Pool, int] = defaultdict(int)
@@ -54,15 +54,15 @@
             booting[pool] += 1
         elif machine.reported_at is None or now - machine.reported_at >= fleet.silent_s:
             silent[pool] += 1
-    out: Standing = defaultdict(int)
+    out: WaitReasonCounts = defaultdict(int)
     shut = dict.fromkeys(refused, 1)
     for job in waiting:
-        why = _why(job, gates, flavors, live, now, (usable, booting, silent, shut))
+        why = _wait_reason(job, gates, flavors, live, now, (usable, booting, silent, shut))
         out[job.spec.jobclass, why] += len(job.waiting)
     return dict(out)
 
 
-def _why(
+def _wait_reason(
     job: Job,
     gates: Gates,
     flavors: dict[str, Flavor],
@@ -72,7 +72,7 @@
 ) -> str:
     spec = job.spec
     if not live:
-        return STATE
+        return REASON_STATE_UNREACHABLE
     closed = gates.why(job)
     if closed:
         return closed
@@ -85,16 +85,24 @@
         sum(count for pool, count in kind.items() if suits(pool)) for kind in pools
     )
     if not usable:
-        return BOOTING if booting else WORKERS if silent else CAPACITY if refused else ROOM
+        return (
+            REASON_BOOTING
+            if booting
+            else REASON_WORKERS_UNREACHABLE
+            if silent
+            else REASON_NO_CAPACITY
+            if refused
+            else REASON_NO_ROOM
+        )
     if job.stays_until is not None and now < job.stays_until:
-        return IMAGE
+        return REASON_IMAGE_LOCALITY
     # A few that still boot, or never come, are not why so many wait.
     if booting > constants.BOOTING_PART * usable:
-        return BOOTING
-    return CAPACITY if refused else ROOM
+        return REASON_BOOTING
+    return REASON_NO_CAPACITY if refused else REASON_NO_ROOM
 
 
-def line(found: Standing) -> str:
+def format_wait_reasons(found: WaitReasonCounts) -> str:
     """The log's line: classes in order, the most frequent reason first."""
     by_class: dict[str, list[tuple[int, str]]] = defaultdict(list)
     for (jobclass, reason), count in found.items():
@@ -105,4 +113,4 @@
     )
 
 
-__all__ = ["Standing", "line", "standing"]
+__all__ = ["WaitReasonCounts", "count_wait_reasons", "format_wait_reasons"]
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -24,7 +24,7 @@
 from chalkgrade.region.world import World, close, tell
 from chalkgrade.serving import intake, node
 from chalkgrade.serving.intake import Intake
-from chalkgrade.sharing import gates
+from chalkgrade.sharing import constraints
 from chalkgrade.state.leadership import LEADER_KEY
 from test_gap import _long
 from test_membership import _until
@@ -208,12 +208,12 @@
 
 
 def _starves(patch: Patch, jobclass: str) -> None:
-    plain = gates.Maxima.most
+    plain = constraints.TeamLimits.most
 
-    def most(self: gates.Maxima, job: Job, count: int) -> int:
+    def most(self: constraints.TeamLimits, job: Job, count: int) -> int:
         return 0 if job.spec.jobclass == jobclass else plain(self, job, count)
 
-    patch.setattr(gates.Maxima, "most", most)
+    patch.setattr(constraints.TeamLimits, "most", most)
 
 
 def test_a_class_that_waits_beside_room_is_found_and_it_is_said_why(monkeypatch: Patch) -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,7 +14,7 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.serving import intake
-from chalkgrade.sharing import gates
+from chalkgrade.sharing import constraints
 from chalkgrade.state import ledger
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
 
@@ -118,18 +118,18 @@
 
 
 def test_ignoring_the_maximum_breaks_the_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Maxima, "most", lambda self, job, count: count)
+    monkeypatch.setattr(constraints.TeamLimits, "most", lambda self, job, count: count)
     _breaks("quota", troubled=False, jobs=30)
 
 
 def test_ignoring_constraints_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
-    for where in ("machines.placement", "sharing.floor"):
+    for where in ("machines.placement", "sharing.cluster_snapshot"):
         monkeypatch.setattr(f"chalkgrade.{where}.allowed", lambda *_: True)
     _breaks("wrong_place", troubled=False)
 
 
 def test_ignoring_zones_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Zones, "sites", lambda self, job, sites: sites)
+    monkeypatch.setattr(constraints.ZoneConstraints, "sites", lambda self, job, sites: sites)
     _breaks("wrong_place", troubled=False, jobs=25)
 
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -11,8 +11,8 @@
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.seams.gates import Gates
 from chalkgrade.settings import StateLimits
-from chalkgrade.sharing.demands import Demands
-from chalkgrade.sharing.floor import Floor
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
+from chalkgrade.sharing.demands import DemandCalculator
 from chalkgrade.state.ledger import Ledger
 
 
@@ -91,14 +91,14 @@
         while not (second.live and len(second.waiting)):
             assert world.now < 1040.0
             await asyncio.sleep(0.2)
-        floor = Floor(term.fleet, leader.flavors, term.queues, 1.0, term.clock.now())
+        floor = ClusterSnapshot(term.fleet, leader.flavors, term.queues, 1.0, term.clock.now())
         held = (len(first.live) + len(second.live)) * 1.0
         taken = {second.queue: (held, 0.0, 2 * held)}
         teams = term.scheduling.teams
-        demands = Demands(term.queues, teams, floor, taken, second.spec.rank, Gates([]))
-        demand = demands.of({second.queue: [second]})[second.queue]
-        lack = min(len(second.waiting), max(0, demands.needed(second) - len(second.live)))
-        assert demand.needed[0] == held + lack
+        demands = DemandCalculator(term.queues, teams, floor, taken, second.spec.rank, Gates([]))
+        demand = demands.by_queue({second.queue: [second]})[second.queue]
+        lack = min(len(second.waiting), max(0, demands.tasks_needed_now(second) - len(second.live)))
+        assert demand.needed_now[0] == held + lack
         assert demand.rate[0] >= held + lack
 
     tell(story, 3)
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -13,7 +13,7 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.seams.gates import Stops
-from chalkgrade.sharing.gates import Maxima
+from chalkgrade.sharing.constraints import TeamLimits
 from test_gap import _long
 from test_membership import _leader, _until
 
@@ -66,14 +66,14 @@
 
 def _kept_for_ever(patch: Patch) -> None:
     """What was done before: kept, whenever that may be."""
-    plain = Maxima.make_way
+    plain = TeamLimits.make_way
 
-    def make_way(self: Maxima, job: Job, stops: Stops) -> None:
+    def make_way(self: TeamLimits, job: Job, stops: Stops) -> None:
         plain(self, job, stops)
         owner, rank = job.spec.owner, job.spec.rank
-        self._keeps[owner] = max(rank, self._keeps.get(owner, rank))
+        self._reserved_urgency[owner] = max(rank, self._reserved_urgency.get(owner, rank))
 
-    patch.setattr(Maxima, "make_way", make_way)
+    patch.setattr(TeamLimits, "make_way", make_way)
 
 
 @pytest.mark.parametrize("bug", [False, True])
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -6,9 +6,9 @@
 
 from chalkgrade import constants
 from chalkgrade.machines.placement import Slot
-from chalkgrade.sharing.gates import KeptRoom
-from chalkgrade.sharing.largest import overdue
-from chalkgrade.sharing.stops import MakingRoom
+from chalkgrade.sharing.constraints import SlotReservations
+from chalkgrade.sharing.largest_jobs import overdue_largest_jobs
+from chalkgrade.sharing.preemption import Preemptor
 
 LONG = constants.LARGEST_WAIT_S + 1.0
 
@@ -21,7 +21,7 @@
 
 
 def _names(jobs: list[Any], wall: float = LONG, slack: float = math.inf) -> dict[str, list[str]]:
-    found = overdue(jobs, wall, lambda job: slack)
+    found = overdue_largest_jobs(jobs, wall, lambda job: slack)
     return {queue: [job.name for job in mates] for queue, mates in found.items()}
 
 
@@ -54,13 +54,18 @@
     order = sorted((waits[slot.name], slot.name, slot) for slot in slots)
     fleet = SimpleNamespace(machines=machines)
     floor = SimpleNamespace(
-        now=now, slots=slots, full=[], zones={"north"}, fleet=fleet, fitting=lambda spec: order
+        now=now,
+        slots=slots,
+        full_machines=[],
+        zones={"north"},
+        fleet=fleet,
+        suitable_slots=lambda spec: order,
     )
     gates = SimpleNamespace(sites=lambda job, zones: zones, able=lambda job, count: count)
     maxima = SimpleNamespace(teams={})
     rooms = [(1.0, 0.0, 2.0), room]
-    parts: Any = (floor, None, gates, maxima, KeptRoom(), rooms, True)
-    MakingRoom(*parts).drain(_job("w-1", 4, room=room), 1)
+    parts: Any = (floor, None, gates, maxima, SlotReservations(), rooms, True)
+    Preemptor(*parts).reserve_for_starved(_job("w-1", 4, room=room), 1)
     return [slot.name for slot in slots if slot.kept_for]
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.node import Node
-from chalkgrade.sharing.gates import Maxima
+from chalkgrade.sharing.constraints import TeamLimits
 from chalkgrade.state.leadership import LEADER_KEY
 from chalkgrade.vectors import minus
 from test_gap import _asks, _long
@@ -272,27 +272,27 @@
 
 def _counts_what_it_heard_of(patch: Patch) -> None:
     """Attempts on machines that have not reported them to this leader do not count."""
-    plain = Maxima.begin
+    plain = TeamLimits.begin
 
-    def begin(self: Maxima, jobs: Iterable[Job], now: float) -> None:
+    def begin(self: TeamLimits, jobs: Iterable[Job], now: float) -> None:
         every = list(jobs)
         plain(self, every, now)
         for job in every:
             for attempt in job.live.values():
                 if not attempt.state and not attempt.decided:
-                    left = minus(self.used[job.spec.owner], job.spec.room)
-                    self.used[job.spec.owner] = left
+                    left = minus(self.usage[job.spec.owner], job.spec.room)
+                    self.usage[job.spec.owner] = left
 
-    patch.setattr(Maxima, "begin", begin)
+    patch.setattr(TeamLimits, "begin", begin)
 
 
 def _counts_no_cancelled(patch: Patch) -> None:
-    plain = Maxima.begin
+    plain = TeamLimits.begin
 
-    def begin(self: Maxima, jobs: Iterable[Job], now: float) -> None:
+    def begin(self: TeamLimits, jobs: Iterable[Job], now: float) -> None:
         plain(self, [job for job in jobs if not job.cancelled], now)
 
-    patch.setattr(Maxima, "begin", begin)
+    patch.setattr(TeamLimits, "begin", begin)
 
 
 def _over_once_cancelled(patch: Patch) -> None:
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -333,7 +333,7 @@
 
 
 def _anywhere(patch: Patch) -> None:
-    patch.setattr("chalkgrade.sharing.gates.zones_open", lambda spec, held, zones: set(zones))
+    patch.setattr("chalkgrade.sharing.constraints.zones_open", lambda spec, held, zones: set(zones))
 
 
 LOST: list[tuple[str, Callable[[Patch], None] | None]] = [
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -164,7 +164,7 @@
         used = {zone for zone, count in held.items() if count}
         return used if used else set(zones)
 
-    monkeypatch.setattr("chalkgrade.sharing.gates.zones_open", one_of_them)
+    monkeypatch.setattr("chalkgrade.sharing.constraints.zones_open", one_of_them)
 
     async def story(world: World) -> None:
         world.spawn(world.user(_long(1, 4) | {"oneZone": True, "spread": True}, None))
--- a/tests/test_region.py
+++ b/tests/test_region.py
@@ -8,7 +8,7 @@
 from chalkgrade.cli import main
 from chalkgrade.region import day as days
 from chalkgrade.region.fleet import figures, play_day
-from chalkgrade.sharing import gates
+from chalkgrade.sharing import constraints
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "first-day.toml"
 
@@ -25,12 +25,12 @@
 def test_a_class_that_is_starved_fails_the_day_without_a_broken_rule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    plain = gates.Maxima.most
+    plain = constraints.TeamLimits.most
 
-    def most(self: gates.Maxima, job: gates.Job, count: int) -> int:
+    def most(self: constraints.TeamLimits, job: constraints.Job, count: int) -> int:
         return 0 if job.spec.jobclass == "quote" else plain(self, job, count)
 
-    monkeypatch.setattr(gates.Maxima, "most", most)
+    monkeypatch.setattr(constraints.TeamLimits, "most", most)
     day = days.read(EXAMPLE)
     day.seconds, day.calm_s, day.faults = 30.0, 30.0, []
     told = figures(*play_day(day, 1))
@@ -39,12 +39,12 @@
 
 def test_a_team_that_is_starved_fails_the_day(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every class is served through the other team."""
-    plain = gates.Maxima.most
+    plain = constraints.TeamLimits.most
 
-    def most(self: gates.Maxima, job: gates.Job, count: int) -> int:
+    def most(self: constraints.TeamLimits, job: constraints.Job, count: int) -> int:
         return 0 if job.spec.owner == "nightly" else plain(self, job, count)
 
-    monkeypatch.setattr(gates.Maxima, "most", most)
+    monkeypatch.setattr(constraints.TeamLimits, "most", most)
     day = days.read(EXAMPLE)
     day.seconds, day.calm_s, day.faults = 60.0, 60.0, []
     told = figures(*play_day(day, 2))
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -18,7 +18,7 @@
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.seams.gates import Gate
 from chalkgrade.seams.parts import Part, Sample, gauge
-from chalkgrade.sharing import gates
+from chalkgrade.sharing import constraints
 
 # A package may take from those before it, and from the modules at the root.
 ORDER = ("state", "membership", "record", "machines", "seams", "pipelines", "sharing")
@@ -165,8 +165,8 @@
 
         with monkeypatch.context() as patch:
             if not paused:
-                patch.setattr(gates.Pauses, "most", Gate.most)
-                patch.setattr(gates.Pauses, "ready", lambda self, job: not job.aborted)
+                patch.setattr(constraints.JobBackoff, "most", Gate.most)
+                patch.setattr(constraints.JobBackoff, "ready", lambda self, job: not job.aborted)
             for seed in (6, 7):  # days on which the job meets several machines
                 tell(story, seed, loss=0.0)
         return ended
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -4,34 +4,34 @@
 
 from chalkgrade import constants
 from chalkgrade.settings import Team
-from chalkgrade.sharing.shares import (
-    Declaration,
-    Demand,
-    Kind,
+from chalkgrade.sharing.bopf import (
+    BurstDeclaration,
+    QueueDemand,
+    QueueKind,
     admit,
     allocate,
     drf,
     fair_shares,
-    whole_tasks,
+    round_up_to_tasks,
 )
 from chalkgrade.vectors import ZERO
 
 CAPACITY = (100.0, 0.0, 200.0)
 
 
-def burst(cpu_s: float, period: float, deadline: float, memory_s: float = 0.0) -> Declaration:
-    return Declaration((cpu_s, 0.0, memory_s), period, deadline)
+def burst(cpu_s: float, period: float, deadline: float, memory_s: float = 0.0) -> BurstDeclaration:
+    return BurstDeclaration((cpu_s, 0.0, memory_s), period, deadline)
 
 
 def test_safety_bound_is_exact() -> None:
     """N = max(1 + 0, 3): d may be 100 * 30 / 3 = 1000 CPU-seconds, and no more."""
-    assert admit({"a": burst(1000, 30, 20)}, CAPACITY, 3) == {"a": Kind.HARD}
-    assert admit({"a": burst(1000.1, 30, 20)}, CAPACITY, 3) == {"a": Kind.ELASTIC}
+    assert admit({"a": burst(1000, 30, 20)}, CAPACITY, 3) == {"a": QueueKind.HARD}
+    assert admit({"a": burst(1000.1, 30, 20)}, CAPACITY, 3) == {"a": QueueKind.ELASTIC}
 
 
 def test_every_resource_counts_for_safety() -> None:
     """Memory: 200 * 30 / 3 = 2000 GB-seconds."""
-    assert admit({"a": burst(10, 30, 20, 2001)}, CAPACITY, 3) == {"a": Kind.ELASTIC}
+    assert admit({"a": burst(10, 30, 20, 2001)}, CAPACITY, 3) == {"a": QueueKind.ELASTIC}
 
 
 def test_hard_until_the_rates_are_used_up_then_soft() -> None:
@@ -43,10 +43,10 @@
         "batch": None,
     }
     assert admit(declared, CAPACITY, 3) == {
-        "a": Kind.HARD,
-        "b": Kind.HARD,
-        "c": Kind.SOFT,
-        "batch": Kind.ELASTIC,
+        "a": QueueKind.HARD,
+        "b": QueueKind.HARD,
+        "c": QueueKind.SOFT,
+        "batch": QueueKind.ELASTIC,
     }
 
 
@@ -54,20 +54,20 @@
     """Each bound is 100 * 30 / N; a fourth queue lowers it from 1000 to 750."""
     declared = {name: burst(1000, 30, 100) for name in "abc"} | {"d": burst(10, 30, 100)}
     kinds = admit(declared, CAPACITY, 3)
-    assert kinds["c"] is Kind.HARD
-    assert kinds["d"] is Kind.ELASTIC
+    assert kinds["c"] is QueueKind.HARD
+    assert kinds["d"] is QueueKind.ELASTIC
 
 
 def demand(
     queue: str,
-    kind: Kind,
+    kind: QueueKind,
     wants: float,
     rate: float = 0.0,
     remaining: float = 0.0,
     task: float = 1.0,
     urgency: int = 0,
-) -> Demand:
-    return Demand(
+) -> QueueDemand:
+    return QueueDemand(
         queue,
         queue,
         kind,
@@ -82,10 +82,10 @@
 def test_hard_gets_its_rate_soft_the_shortest_first_elastic_the_rest() -> None:
     first, rest = allocate(
         [
-            demand("batch", Kind.ELASTIC, 500),
-            demand("long", Kind.SOFT, 40, remaining=9),
-            demand("hard", Kind.HARD, 80, rate=50),
-            demand("short", Kind.SOFT, 30, remaining=2),
+            demand("batch", QueueKind.ELASTIC, 500),
+            demand("long", QueueKind.SOFT, 40, remaining=9),
+            demand("hard", QueueKind.HARD, 80, rate=50),
+            demand("short", QueueKind.SOFT, 30, remaining=2),
         ],
         CAPACITY,
     )
@@ -98,7 +98,7 @@
 
 
 def test_a_rate_below_one_task_is_rounded_up_to_one() -> None:
-    first, _ = allocate([demand("hard", Kind.HARD, 8, rate=0.5, task=4)], CAPACITY)
+    first, _ = allocate([demand("hard", QueueKind.HARD, 8, rate=0.5, task=4)], CAPACITY)
     assert dict(first)["hard"][0] == pytest.approx(4)
 
 
@@ -107,9 +107,9 @@
 
     Thousands of their tasks waited while less urgent work held most CPUs.
     """
-    low = demand("low", Kind.HARD, 500, rate=90)
-    urgent = demand("urgent", Kind.ELASTIC, 500, urgency=1)
-    urgent.needed = (70.0, 0.0, 0.0)
+    low = demand("low", QueueKind.HARD, 500, rate=90)
+    urgent = demand("urgent", QueueKind.ELASTIC, 500, urgency=1)
+    urgent.needed_now = (70.0, 0.0, 0.0)
     first, rest = allocate([low, urgent], CAPACITY)
     assert [(queue, round(amount[0])) for queue, amount in first] == [("urgent", 70), ("low", 30)]
     assert dict(rest)["urgent"][0] == pytest.approx(70)
@@ -151,10 +151,12 @@
     capacity = (100.0, 0.0, 400.0)
     teams = {"red": Team("red", 60.0), "blue": Team("blue", 30.0), "green": Team("green")}
 
-    def demand(queue: str, wants: float) -> Demand:
+    def demand(queue: str, wants: float) -> QueueDemand:
         task = (1.0, 0.0, 1.0)
         most = (wants, 0.0, wants)
-        return Demand(queue, queue.split("/")[0], Kind.ELASTIC, task, most, ZERO, 0.0, held=ZERO)
+        return QueueDemand(
+            queue, queue.split("/")[0], QueueKind.ELASTIC, task, most, ZERO, 0.0, usage=ZERO
+        )
 
     queues = ["red/a", "red/b", "blue/a", "green/a"]
     given = fair_shares([demand(queue, 100.0) for queue in queues], teams, capacity)
@@ -171,6 +173,6 @@
 def test_a_share_is_rounded_up_to_whole_tasks() -> None:
     """Rounded down, a task and a half is claimed only while none runs."""
     wide = (4.0, 0.0, 12.0)
-    assert whole_tasks((1.0, 0.0, 2.0), wide) == wide
-    assert whole_tasks((5.8, 0.0, 9.0), wide) == (8.0, 0.0, 24.0)
-    assert whole_tasks((8.0, 0.0, 24.0), wide) == (8.0, 0.0, 24.0)
+    assert round_up_to_tasks((1.0, 0.0, 2.0), wide) == wide
+    assert round_up_to_tasks((5.8, 0.0, 9.0), wide) == (8.0, 0.0, 24.0)
+    assert round_up_to_tasks((8.0, 0.0, 24.0), wide) == (8.0, 0.0, 24.0)
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -24,7 +24,7 @@
 from chalkgrade.renting.headroom import NEVER, Headroom, Lane
 from chalkgrade.renting.plan import Have, Need, plan_rent
 from chalkgrade.renting.report import PlanReport
-from chalkgrade.sharing.stops import MakingRoom
+from chalkgrade.sharing.preemption import Preemptor
 from test_halves import _play, _sixfold
 from test_placement_rentals import FLAVORS, spec
 
@@ -150,7 +150,7 @@
         self.slots = [_slot(occupant) for occupant in occupants]
         self.asked = 0
 
-    def every(self) -> list[Slot]:
+    def all_slots(self) -> list[Slot]:
         self.asked += 1
         return self.slots
 
@@ -166,7 +166,7 @@
     floor: Any = _Floor(occupants)
     maxima: Any = SimpleNamespace(teams={})
     nothing: Any = None
-    making = MakingRoom(floor, nothing, nothing, maxima, nothing, [], True)
+    making = Preemptor(floor, nothing, nothing, maxima, nothing, [], True)
     for within_s in [0.0, *(rng.uniform(0.0, 70.0) for _ in range(100))]:
         for owner in ("red", "blue", "green"):
             ends = [o.room for o in occupants if o.owner == owner and o.left_s <= within_s]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -15,8 +15,8 @@
 from chalkgrade.renting.boots import Boots
 from chalkgrade.renting.plan import Need, plan_rent
 from chalkgrade.serving.node import Node
-from chalkgrade.sharing import standing
-from chalkgrade.sharing.shares import Demand, Kind, allocate, spare_order
+from chalkgrade.sharing import wait_reasons
+from chalkgrade.sharing.bopf import QueueDemand, QueueKind, allocate, spare_capacity_order
 from test_placement_rentals import FLAVORS, busy, slot, spec
 
 
@@ -308,14 +308,17 @@
 
 def test_guests_come_last_and_give_way_only_what_they_borrowed() -> None:
     room = (10.0, 0.0, 100.0)
-    plain = dict(kind=Kind.ELASTIC, task=(1.0, 0.0, 1.0), wants=(10.0, 0.0, 10.0))
+    plain = dict(kind=QueueKind.ELASTIC, task=(1.0, 0.0, 1.0), wanted=(10.0, 0.0, 10.0))
     plain |= dict(rate=(0.0, 0.0, 0.0), remaining=1.0, urgency=1)
-    guest = Demand("g/c", "g", guest=True, **plain)  # type: ignore[arg-type]
-    team = Demand("t/c", "t", **plain)  # type: ignore[arg-type]
+    guest = QueueDemand("g/c", "g", is_best_effort=True, **plain)  # type: ignore[arg-type]
+    team = QueueDemand("t/c", "t", **plain)  # type: ignore[arg-type]
     grants = dict(allocate([guest, team], room)[1])
     assert grants["t/c"][0] == 10.0
     assert grants["g/c"][0] == 0.0
-    assert spare_order([guest, team], lambda d: 0.0 if d.guest else 1.0) == ["t/c", "g/c"]
+    assert spare_capacity_order([guest, team], lambda d: 0.0 if d.is_best_effort else 1.0) == [
+        "t/c",
+        "g/c",
+    ]
     full = slot("m", 0.0)
     full.seen = [busy("g/0", 2, 50.0, 3.0, owner="g"), busy("t/0", 0, 50.0, 1.0, owner="t")]
     asker = spec(owner="red", urgency="standard")
@@ -370,11 +373,11 @@
         await asyncio.sleep(5.0)
         term = leader.term
         assert term is not None
-        assert term.scheduling.standing() == {("small", standing.CAPACITY): 5}
+        assert term.scheduling.standing() == {("small", wait_reasons.REASON_NO_CAPACITY): 5}
         world.cloud.rooms = {("small", "a", True): 1}
         while not term.fleet.machines:
             await asyncio.sleep(0.5)
-        assert term.scheduling.standing() == {("small", standing.BOOTING): 5}
+        assert term.scheduling.standing() == {("small", wait_reasons.REASON_BOOTING): 5}
         while world.started < 4:
             await asyncio.sleep(0.5)
         world.cloud.rooms = dict.fromkeys(world.cloud.rooms, 0)
@@ -383,8 +386,10 @@
         world.store.outage(30.0)
         await asyncio.sleep(6.0)
         if leader.term is term:
-            assert {why for _, why in term.scheduling.standing()} == {standing.STATE}
-        assert standing.line({("b", "x"): 1, ("a", "y"): 2, ("a", "z"): 3}) == (
+            assert {why for _, why in term.scheduling.standing()} == {
+                wait_reasons.REASON_STATE_UNREACHABLE
+            }
+        assert wait_reasons.format_wait_reasons({("b", "x"): 1, ("a", "y"): 2, ("a", "z"): 3}) == (
             "a: 3 z, 2 y; b: 1 x"
         )
 
