--- a/src/chalkgrade/sharing/__init__.py
+++ b/src/chalkgrade/sharing/__init__.py
@@ -1,5 +1,5 @@
-"""Who gets how much: BoPF's classes and steps, round by round.
+"""Fair sharing of the cluster between queues by the BoPF algorithm, in scheduling rounds.
 
-Ask `queues` for what a job needs and by when, `rounds` to place what can be placed now,
-`standing` why the rest waits. `shares` holds the paper's steps, pure.
+`queues` estimates what a job needs and by when, `rounds` places what can be placed now, and
+`wait_reasons` says why the rest waits. `bopf` holds the steps of the paper as pure functions.
 """
--- a/src/chalkgrade/sharing/bopf.py
+++ b/src/chalkgrade/sharing/bopf.py
@@ -1,8 +1,8 @@
-"""BoPF: admission into hard, soft and elastic, and the rounds' grants. Pure.
+"""BoPF fair sharing: admission of queues and the grants of a scheduling round.
 
-A queue is one team's jobs of one class. Amounts are vectors over CPUs, GPUs
-and memory; a burst's demand is a vector of amount-seconds. Section and step
-numbers are those of the paper and of docs/design.md.
+All functions are pure. A queue holds one team's jobs of one class. Amounts are vectors over
+CPUs, GPUs and memory (GB); the demand of a burst is such a vector times seconds. Section and
+step numbers refer to the BoPF paper and to docs/design.md.
 """
 
 import math
@@ -16,6 +16,12 @@
 
 
 class QueueKind(Enum):
+    """The service class that admission gives a queue.
+
+    A hard queue has a fixed rate, a soft queue is served shortest burst first from what is left,
+    and an elastic queue shares the rest fairly.
+    """
+
     HARD = "hard"
     SOFT = "soft"
     ELASTIC = "elastic"
@@ -23,7 +29,11 @@
 
 @dataclass(frozen=True)
 class BurstDeclaration:
-    """Step 1: a bursty queue's demand per burst, its period and its deadline."""
+    """Step 1: what a bursty queue declares.
+
+    `demand` is the amount-seconds of one burst, `period_s` the seconds between bursts, and
+    `deadline_s` the seconds within which a burst has to be done.
+    """
 
     demand: Vector
     period_s: float
@@ -31,17 +41,18 @@
 
     @property
     def rate(self) -> Vector:
+        """The constant amount that completes one burst exactly by its deadline."""
         return tuple(d / max(self.deadline_s, EPS) for d in self.demand)
 
 
 def admit(
     declared: dict[str, BurstDeclaration | None], capacity: Vector, nmin: int
 ) -> dict[str, QueueKind]:
-    """Steps 2 and 3, in the order in which the queues were declared.
+    """Admit the queues (steps 2 and 3) in the order in which they were declared.
 
-    None stands for a batch queue. A queue whose demand would break the safety
-    of those admitted before it is not refused per job but served as elastic:
-    here admission happens while work is already accepted.
+    None stands for a batch queue. A queue whose demand would violate the safety condition of the
+    queues admitted before it becomes elastic. Its jobs are not rejected, because in this system
+    admission is evaluated after their submission was accepted.
     """
     kinds: dict[str, QueueKind] = {}
     fair: dict[str, BurstDeclaration] = {}
@@ -68,39 +79,39 @@
 
 @dataclass
 class QueueDemand:
-    """What one queue has and wants in a round."""
+    """What one queue uses and wants in a round, and what its bursts need."""
 
     queue: str
     team: str
     kind: QueueKind
-    task: Vector  # the largest task waiting, so that a grant fits at least one
-    wanted: Vector  # all it could use now, running work included
+    task: Vector  # per-resource maximum over waiting tasks, so that a grant fits at least one
+    wanted: Vector  # all that the queue could use now, including running tasks
     rate: Vector  # the declared fixed rate of a hard queue
-    remaining_work: float  # dominant work left in its burst, in amount-seconds
+    remaining_work: float  # share-seconds of the dominant resource left in the burst
     weight: float = 1.0
     urgency: int = 0
-    needed_now: Vector = (0.0, 0.0, 0.0)  # what its bursts' next bounds need now
-    is_best_effort: bool = False  # gets what nobody else wants
-    usage: Vector = field(default=())  # what its running work takes
+    needed_now: Vector = (0.0, 0.0, 0.0)  # what its bursts need now to meet their next bounds
+    is_best_effort: bool = False  # gets only what no other queue wants
+    usage: Vector = field(default=())  # what its running tasks hold
 
 
-def _scale_within(limit: Vector, wants: Vector, room: Vector) -> Vector:
-    """The largest amount in the proportions of `wants` within both bounds."""
+def _scale_within(limit: Vector, wanted: Vector, room: Vector) -> Vector:
+    """The largest amount in the proportions of `wanted`, at most `wanted`, `limit` and `room`."""
     part = 1.0
-    for want, low, free in zip(wants, limit, room, strict=True):
+    for want, bound, free in zip(wanted, limit, room, strict=True):
         if want > EPS:
-            part = min(part, low / want, free / want)
-    return tuple(max(0.0, part) * w for w in wants)
+            part = min(part, bound / want, free / want)
+    return tuple(max(0.0, part) * w for w in wanted)
 
 
 def drf(
     demands: dict[str, tuple[Vector, Vector, float]], room: Vector, total: Vector
 ) -> dict[str, Vector]:
-    """Dominant resource fairness by progressive filling.
+    """Allocate by weighted dominant resource fairness (DRF) with progressive filling.
 
-    `demands` maps a name to its task's size, the most it wants and its weight.
-    The least served gets the next task; where tasks are small beside the
-    cluster, as many as make a step of `DRF_STEP` of it, so that the work does
+    `demands` maps a name to the size of its tasks, the most it wants and its weight. The name
+    with the lowest weighted dominant share gets the next task. Where tasks are small compared to
+    the cluster, it gets as many as make up a `DRF_STEP` of the cluster, so that the run time does
     not grow with the cluster.
     """
     given: dict[str, Vector] = {name: tuple(0.0 for _ in room) for name in demands}
@@ -111,21 +122,21 @@
     shares = dict.fromkeys(demands, 0.0)
     while shares:
         name = min(shares, key=shares.__getitem__)
-        task, most, weight = demands[name]
+        task, maximum, weight = demands[name]
         if not any(t > EPS for t in task):
             del shares[name]
             continue
         count = steps[name]
         while count:
-            more = tuple(t * count for t in task)
-            if fits(more, room) and fits(plus(given[name], more), most):
+            increment = tuple(t * count for t in task)
+            if fits(increment, room) and fits(plus(given[name], increment), maximum):
                 break
             count //= 2
         if not count:
             del shares[name]
             continue
-        given[name] = plus(given[name], more)
-        room = minus(room, more)
+        given[name] = plus(given[name], increment)
+        room = minus(room, increment)
         shares[name] = dominant(given[name], total) / weight
     return given
 
@@ -133,11 +144,11 @@
 def fair_shares(
     demands: Iterable[QueueDemand], teams: dict[str, Team], capacity: Vector
 ) -> dict[str, Vector]:
-    """What each queue's share of all would be over the long term, by its team's guarantee.
+    """Compute each queue's long-term fair share of the capacity from its team's guarantee.
 
-    Dominant resource fairness with weights: a team's guarantee, and beside it the same small
-    part of the capacity for every team, so that none counts for nothing; a team's queues
-    share its weight evenly.
+    The shares are weighted DRF. A team's weight is its guarantee plus the same small part of the
+    capacity for every team, so that a team without a guarantee has a weight too. A team's queues
+    divide its weight evenly.
     """
     demands = list(demands)
     queues: dict[str, int] = {}
@@ -146,16 +157,19 @@
     weights: dict[str, float] = {}
     for name, count in queues.items():
         team = teams.get(name)
-        held = dominant((team.cpus, team.gpus, 0.0), capacity) if team is not None else 0.0
-        weights[name] = (held + constants.FAIR_LEAST / len(queues)) / count
+        guaranteed_share = (
+            dominant((team.cpus, team.gpus, 0.0), capacity) if team is not None else 0.0
+        )
+        weights[name] = (guaranteed_share + constants.FAIR_LEAST / len(queues)) / count
     return drf({d.queue: (d.task, d.wanted, weights[d.team]) for d in demands}, capacity, capacity)
 
 
 def round_up_to_tasks(amount: Vector, task: Vector) -> Vector:
-    """The amount rounded up to whole tasks, in the proportions of the task; one at least.
+    """Round an amount up to whole tasks, at least one.
 
-    A share below one task would never start anything. One of a task and a half, rounded down,
-    is claimed only while none runs: between two tasks a wide one waits for a machine anew.
+    A share below one task would never start anything. If a share of one and a half tasks were
+    rounded down, it would be claimed only while no task runs, so that a queue of wide tasks would
+    wait for an empty machine again after each task.
     """
     rooms = zip(amount, task, strict=True)
     count = max(1, math.ceil(max((a / t for a, t in rooms if t > EPS), default=1) - EPS))
@@ -166,15 +180,16 @@
 
 
 def allocate(demands: list[QueueDemand], capacity: Vector) -> tuple[Grants, Grants]:
-    """Steps 4 to 6: grants in the order in which they are to be filled.
+    """Compute the grants of steps 4 to 6, each list in the order in which it is to be filled.
 
-    First what bounds need, by urgency: a lower priority's fixed rate must not
-    go before a higher one's burst, whatever class admission put them in. Then
-    all that soft and elastic queues get of the rest.
+    The first list holds what completion bounds need, by urgency: the fixed rate of a less urgent
+    queue must not precede the burst of a more urgent one, whichever kinds admission gave them.
+    The second list holds the total grants of soft and elastic queues, including the rest of the
+    capacity.
     """
     room = capacity
     given: dict[str, Vector] = {d.queue: tuple(0.0 for _ in capacity) for d in demands}
-    first: list[str] = []
+    need_order: list[str] = []
     soft = [demand for demand in demands if demand.kind is QueueKind.SOFT]
     soft.sort(key=lambda d: (-d.urgency, d.remaining_work, d.queue))
 
@@ -183,51 +198,54 @@
         given[queue] = plus(given[queue], amount)
         room = minus(room, amount)
 
-    def give(demand: QueueDemand, limit: Vector) -> None:
+    def grant_up_to(demand: QueueDemand, limit: Vector) -> None:
         grant(demand.queue, _scale_within(limit, minus(demand.wanted, given[demand.queue]), room))
 
-    def share(some: list[QueueDemand], limit: Callable[[QueueDemand], Vector]) -> None:
+    def share(group: list[QueueDemand], limit: Callable[[QueueDemand], Vector]) -> None:
         wanted = {
             d.queue: (d.task, minus(_elementwise_min(limit(d), d.wanted), given[d.queue]), d.weight)
-            for d in some
+            for d in group
         }
         for queue, amount in drf(wanted, room, capacity).items():
             grant(queue, amount)
 
-    own = [demand for demand in demands if not demand.is_best_effort]
-    for urgency in sorted({demand.urgency for demand in own}, reverse=True):
-        tier = [demand for demand in own if demand.urgency == urgency]
+    regular = [demand for demand in demands if not demand.is_best_effort]
+    for urgency in sorted({demand.urgency for demand in regular}, reverse=True):
+        tier = [demand for demand in regular if demand.urgency == urgency]
         for demand in tier:
             if demand.kind is QueueKind.HARD:
-                # A fixed rate below one task would never start anything: round up to one.
-                floor = tuple(max(r, t) for r, t in zip(demand.rate, demand.task, strict=True))
-                give(demand, floor)
+                # A fixed rate below one task would never start anything, so round it up.
+                fixed_rate = tuple(max(r, t) for r, t in zip(demand.rate, demand.task, strict=True))
+                grant_up_to(demand, fixed_rate)
         for demand in soft:
             if demand in tier:
-                give(demand, demand.needed_now)
+                grant_up_to(demand, demand.needed_now)
         bursty = [d for d in tier if d.kind is QueueKind.ELASTIC and any(d.needed_now)]
         share(bursty, lambda d: d.needed_now)
-        first += [demand.queue for demand in tier]
-    before = [(queue, given[queue]) for queue in first if any(given[queue])]
+        need_order += [demand.queue for demand in tier]
+    needed_grants = [(queue, given[queue]) for queue in need_order if any(given[queue])]
     for demand in soft:
-        give(demand, demand.wanted)
-    for guest in (False, True):
-        some = [d for d in demands if d.kind is QueueKind.ELASTIC and d.is_best_effort is guest]
-        share(some, lambda d: d.wanted)
+        grant_up_to(demand, demand.wanted)
+    for best_effort in (False, True):
+        group = [
+            d for d in demands if d.kind is QueueKind.ELASTIC and d.is_best_effort is best_effort
+        ]
+        share(group, lambda d: d.wanted)
     order = [d.queue for d in soft] + [d.queue for d in demands if d.kind is QueueKind.ELASTIC]
-    return before, [(queue, given[queue]) for queue in order]
+    return needed_grants, [(queue, given[queue]) for queue in order]
 
 
 def _elementwise_min(one: Vector, other: Vector) -> Vector:
+    """The smaller of the two amounts, for each resource."""
     return tuple(map(min, one, other))
 
 
 def spare_capacity_order(
     demands: Iterable[QueueDemand], share: Callable[[QueueDemand], float]
 ) -> list[str]:
-    """Step 7: who may use idle granted room first: urgent work, then the least served.
+    """Order the queues for idle resources (step 7): the most urgent, then the least served.
 
-    Guests come after everybody else.
+    Best-effort queues come after all others.
     """
     order = sorted(demands, key=lambda d: (d.is_best_effort, -d.urgency, share(d), d.queue))
     return [d.queue for d in order]
--- a/src/chalkgrade/sharing/cluster_snapshot.py
+++ b/src/chalkgrade/sharing/cluster_snapshot.py
@@ -1,4 +1,4 @@
-"""The room of one round: which machines serve, what is free on them, who is there."""
+"""A snapshot of the cluster for one round: usable machines, their free resources and tasks."""
 
 from collections import defaultdict
 
@@ -11,30 +11,37 @@
 
 
 class ClusterSnapshot:
-    """Machines as slots, made anew for each round from what they report.
+    """The usable machines as slots, rebuilt for each round from their reports.
 
-    `least`: CPUs of the smallest task that may start; machines with less are full.
+    `min_task_cpus` is the CPUs of the smallest task that may start; a machine with fewer free
+    CPUs is full. `now` is in seconds of the steady clock.
     """
 
     def __init__(
-        self, fleet: Fleet, flavors: dict[str, Flavor], queues: Queues, least: float, now: float
+        self,
+        fleet: Fleet,
+        flavors: dict[str, Flavor],
+        queues: Queues,
+        min_task_cpus: float,
+        now: float,
     ) -> None:
         self.fleet = fleet
         self.flavors = flavors
         self.queues = queues
         self.now = now
-        self.slots: list[Slot] = []  # machines with room
+        self.slots: list[Slot] = []  # usable machines with room for a task
         self.full_machines: list[Machine] = []  # usable machines without
-        self.zones: set[str] = set()
-        self.image_cpus: dict[str, float] = defaultdict(float)  # image -> CPUs of machines with it
-        # Tasks by job that are present somewhere without our doing.
+        self.zones: set[str] = set()  # zones of the usable machines
+        # Image -> CPUs of the usable machines that hold it.
+        self.image_cpus: dict[str, float] = defaultdict(float)
+        # Job -> indexes of its tasks that run on machines where the jobs' record has no attempt.
         self.unknown_tasks: dict[str, set[int]] = defaultdict(set)
         self._all_slots: list[Slot] | None = None
         self._slots_by_wait: dict[object, list[tuple[float, str, Slot]]] = {}
-        self.capacity = self._scan_machines(least)
+        self.capacity = self._scan_machines(min_task_cpus)
 
-    def _scan_machines(self, least: float) -> Vector:
-        """Sort the usable machines by whether anything fits them; all their room."""
+    def _scan_machines(self, min_task_cpus: float) -> Vector:
+        """Divide the usable machines into slots and full ones; return their total resources."""
         capacity = ZERO
         counts: dict[str, int] = defaultdict(int)
         for machine in self.fleet.machines.values():
@@ -50,7 +57,7 @@
             self.zones.add(machine.site)
             for image in machine.images:
                 self.image_cpus[image] += flavor.vcpus
-            if flavor.vcpus - machine.used[0] + 1e-9 >= least:
+            if flavor.vcpus - machine.used[0] + 1e-9 >= min_task_cpus:
                 self.slots.append(self._slot(machine))
             else:
                 self.full_machines.append(machine)
@@ -62,6 +69,7 @@
         return capacity
 
     def _slot(self, machine: Machine) -> Slot:
+        """Describe a machine as a slot; its occupants are only loaded when needed."""
         flavor = self.flavors[machine.hosttype]
         fetching = {
             attempt.job.spec.bundle
@@ -84,7 +92,11 @@
         )
 
     def all_slots(self) -> list[Slot]:
-        """With the machines that are full: looked at only where room has to be made."""
+        """Return all slots, including full machines.
+
+        Slots for full machines are created on the first call, as only reservations and preemption
+        need them.
+        """
         if self._all_slots is None:
             self._all_slots = [
                 *self.slots,
@@ -93,31 +105,37 @@
         return self._all_slots
 
     def occupant(self, attempt: Attempt) -> Occupant:
+        """Describe a running attempt: when it ends and how much work stopping it would lose."""
         spec = attempt.job.spec
-        ran = self.now - attempt.since if attempt.since else 0.0
-        lost = min(ran, spec.flushS) if spec.savepointS > 0 else ran
+        elapsed_s = self.now - attempt.since if attempt.since else 0.0
+        lost_s = min(elapsed_s, spec.flushS) if spec.savepointS > 0 else elapsed_s
         if not attempt.since and attempt.decided:
-            # A fetch is given up with the last task that waits for it.
-            lost = min(self.now - attempt.decided, self.queues.image_fetch_s(attempt.job))
+            # A machine abandons an image fetch when the last task that waits for it is stopped.
+            lost_s = min(self.now - attempt.decided, self.queues.image_fetch_s(attempt.job))
         if spec.shape == "gang":
-            lost *= spec.tasks  # the others can't go on without it
+            lost_s *= spec.tasks  # the other tasks of a gang cannot continue without it
         stopping = attempt.kill_at is not None
-        left = spec.flushS + 1.0 if stopping else self.queues.remaining_run_s(attempt, self.now)
+        remaining_s = (
+            spec.flushS + 1.0 if stopping else self.queues.remaining_run_s(attempt, self.now)
+        )
         return Occupant(
             attempt.name,
             attempt.number,
             spec.owner,
             spec.rank,
             spec.room,
-            left,
-            lost * spec.vcpus,
+            remaining_s,
+            lost_s * spec.vcpus,
             stopping,
             spec.savepointS > 0,
             attempt.guarded,
         )
 
     def suitable_slots(self, spec: JobSpec) -> list[tuple[float, str, Slot]]:
-        """All machines a job may use, the soonest to have room first; once a shape and round."""
+        """Return all machines a job may use with their wait in seconds, the shortest wait first.
+
+        The list is computed once per round for all jobs with the same requirements.
+        """
         key = spec.suits
         if key not in self._slots_by_wait:
             self._slots_by_wait[key] = sorted(
--- a/src/chalkgrade/sharing/constraints.py
+++ b/src/chalkgrade/sharing/constraints.py
@@ -1,4 +1,4 @@
-"""The gates that every round has: pauses, the teams' maxima, zones, kept room."""
+"""The start constraints of every round: backoff, team limits, zones and machine reservations."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -12,13 +12,14 @@
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.vectors import EPS, ZERO, Vector, fits, minus, plus
 
+# Reasons that operators see for waiting tasks.
 REASON_BACKOFF = "backing off after failures"
 REASON_TEAM_LIMIT = "team maximum"
-UNLIMITED = 1e18  # more than any team can use
+UNLIMITED = 1e18  # an amount of any resource that no team can reach
 
 
 class JobBackoff(Gate):
-    """Aborted work starts no more; a faulty job is probed after pauses."""
+    """Starts nothing of aborted jobs, and probes a failing job only after a backoff delay."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -42,17 +43,18 @@
 
 
 class TeamLimits(Gate):
-    """A team's maximum counts everything of it that may be present."""
+    """Keeps each team within its maximum, counting all its attempts that may still be present."""
 
     def __init__(self, teams: dict[str, Team], queues: Queues) -> None:
         self.teams = teams
         self._queues = queues
         self.usage: dict[str, Vector] = defaultdict(lambda: ZERO)
-        self._reserved_urgency: dict[
-            str, int
-        ] = {}  # team at its maximum -> urgency it keeps room for
-        self._available_soon: dict[str, Vector] = {}  # what its maximum leaves before long
-        self._service_usage: dict[str, Vector] = defaultdict(lambda: ZERO)  # of used, by services
+        # Team at its maximum -> lowest urgency that may use what becomes free.
+        self._reserved_urgency: dict[str, int] = {}
+        # Team -> what its maximum leaves once the tasks that end soon have ended.
+        self._available_soon: dict[str, Vector] = {}
+        # Team -> the part of its usage that services hold.
+        self._service_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
         self.usage.clear()
@@ -61,17 +63,18 @@
         self._service_usage.clear()
         for job in jobs:
             if job.live:
-                taken = tuple(a * len(job.live) for a in job.spec.room)
-                self.usage[job.spec.owner] = plus(self.usage[job.spec.owner], taken)
+                job_usage = tuple(a * len(job.live) for a in job.spec.room)
+                self.usage[job.spec.owner] = plus(self.usage[job.spec.owner], job_usage)
                 if job.spec.shape == "service":
                     self._service_usage[job.spec.owner] = plus(
-                        self._service_usage[job.spec.owner], taken
+                        self._service_usage[job.spec.owner], job_usage
                     )
 
     def ready(self, job: Job) -> bool:
         return job.spec.owner in self.teams
 
     def limit(self, owner: str) -> Vector:
+        """Return the maximum of a team, `UNLIMITED` for a resource without one."""
         team = self.teams[owner]
         return (team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED)
 
@@ -80,13 +83,13 @@
         return fits(plus(self.usage[job.spec.owner], need), self.limit(job.spec.owner))
 
     def most(self, job: Job, count: int) -> int:
-        # What the maximum leaves is kept for more urgent work of the team.
+        # What the maximum leaves is reserved for more urgent work of the team.
         if job.spec.rank < self._reserved_urgency.get(job.spec.owner, job.spec.rank):
             return 0
         if not count or self._fits(job, count):
             return count
-        spare = minus(self.limit(job.spec.owner), self.usage[job.spec.owner])
-        rooms = zip(spare, job.spec.room, strict=True)
+        unused = minus(self.limit(job.spec.owner), self.usage[job.spec.owner])
+        rooms = zip(unused, job.spec.room, strict=True)
         fit = (int((left + EPS) // need) for left, need in rooms if need > 0)
         return max(0, min(count - 1, *fit))
 
@@ -94,39 +97,41 @@
         self.usage[job.spec.owner] = plus(self.usage[job.spec.owner], job.spec.room)
 
     def make_way(self, job: Job, stops: Stops) -> None:
-        """A team at its maximum: keep what frees up for its most urgent waiting work.
+        """Reserve what becomes free within a team's maximum for its most urgent waiting work.
 
-        Else its small tasks take each freed CPU, and four at once never come free. Only if
-        enough of them do before long: beside a service that fills the rest of its maximum,
-        what is left would be kept from all others for ever.
+        Otherwise the team's small tasks take each CPU that becomes free, and a task that needs
+        four CPUs at once never starts. Nothing is reserved unless enough becomes free soon: next
+        to a service that fills the rest of the maximum, the remainder would be withheld from the
+        team's other work forever. If that does not suffice in time and the round may preempt,
+        less urgent work of the team is stopped.
         """
         spec = job.spec
         if self._reserved_urgency.get(spec.owner, spec.rank) > spec.rank:
             return
         if spec.owner not in self._available_soon:
-            spare = minus(self.limit(spec.owner), self.usage[spec.owner])
-            spare = plus(spare, stops.ending(spec.owner, constants.KEPT_S))
-            # Replicas end when they are called off, not when they have run for their time.
+            unused = minus(self.limit(spec.owner), self.usage[spec.owner])
+            unused = plus(unused, stops.ending(spec.owner, constants.KEPT_S))
+            # Replicas of a service end when they are cancelled, not after their run time.
             most = minus(self.limit(spec.owner), self._service_usage[spec.owner])
-            self._available_soon[spec.owner] = tuple(map(min, spare, most))
+            self._available_soon[spec.owner] = tuple(map(min, unused, most))
         if fits(spec.room, self._available_soon[spec.owner]):
             self._reserved_urgency[spec.owner] = spec.rank
         if not stops.preempt:
             return
         wanted = tuple(a * min(len(job.waiting), stops.machines()) for a in spec.room)
-        over = minus(plus(self.usage[spec.owner], wanted), self.limit(spec.owner))
+        excess = minus(plus(self.usage[spec.owner], wanted), self.limit(spec.owner))
         slack = max(constants.PREEMPT_WAIT_S, self._queues.slack_s(job))
-        over = minus(over, stops.ending(spec.owner, slack))
-        while (over[0] > 0 or over[1] > 0) and stops.own_room(job):
-            over = minus(over, spec.room)
+        excess = minus(excess, stops.ending(spec.owner, slack))
+        while (excess[0] > 0 or excess[1] > 0) and stops.own_room(job):
+            excess = minus(excess, spec.room)
 
     def why(self, job: Job) -> str:
-        known = job.spec.owner in self.teams
-        return "" if known and self._fits(job, 1) else REASON_TEAM_LIMIT
+        is_known_team = job.spec.owner in self.teams
+        return "" if is_known_team and self._fits(job, 1) else REASON_TEAM_LIMIT
 
 
 class ZoneConstraints(Gate):
-    """All of a job in one zone, or at most half of it in each."""
+    """Keeps a job in one zone (`oneZone`), or at most half of it in each zone (`spread`)."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -136,13 +141,13 @@
         self._tasks_by_zone.clear()
 
     def tasks_by_zone(self, job: Job) -> dict[str, int]:
-        """Its tasks that may be present, by zone; "" where the zone is not known yet."""
+        """Count a job's tasks that may be present by zone; "" where the zone is not known yet."""
         if job not in self._tasks_by_zone:
-            zone_of = self._tasks_by_zone[job] = defaultdict(int)
+            counts = self._tasks_by_zone[job] = defaultdict(int)
             if job.spec.oneZone or job.spec.spread:
                 for attempt in job.live.values():
                     machine = self._fleet.machines.get(attempt.machine)
-                    zone_of[machine.site if machine else ""] += 1
+                    counts[machine.site if machine else ""] += 1
         return self._tasks_by_zone[job]
 
     def sites(self, job: Job, sites: set[str]) -> set[str]:
@@ -156,20 +161,20 @@
 
 
 class SlotReservations(Gate):
-    """Room that is kept on machines for granted work that found none yet.
+    """Reserves machines for granted tasks that found no machine with room yet.
 
-    Without it, small tasks refill every gap and a task that needs half a machine
-    or more waits for ever.
+    Without reservations, small tasks fill every gap, and a task that needs half a machine or more
+    waits forever.
     """
 
     def __init__(self) -> None:
-        self.reserved_machines = 0  # machines that room is kept on
+        self.reserved_machines = 0  # number of machines with a reservation
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
-        self.reserved_machines = 0  # the slots that say for whom are made anew for each round
+        self.reserved_machines = 0  # the slots, which hold the reservations, are rebuilt per round
 
     def reserve_slot(self, job: Job, slot: Slot) -> None:
-        """Keep room for one task; on a large machine the rest stays free for others."""
+        """Reserve room for one task; on a large machine the rest stays available to other jobs."""
         self.reserved_machines += not slot.kept_for
         slot.kept_for, slot.kept = job.name, job.spec.room
 
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -1,4 +1,4 @@
-"""What each queue has and wants in a round: the input of steps 4 to 7."""
+"""Calculates what each queue uses and wants in a round: the input of steps 4 to 7 of BoPF."""
 
 from chalkgrade import constants
 from chalkgrade.record.jobs import Job
@@ -11,30 +11,38 @@
 
 
 class DemandCalculator:
-    """The demands of one round. `least`: the lowest urgency among what may start."""
+    """Calculates the demands of one round.
+
+    `queue_usage` maps a queue to the resources its running tasks hold. `lowest_urgency` is that
+    of the least urgent job that may start in the round.
+    """
 
     def __init__(
         self,
         queues: Queues,
         teams: dict[str, Team],
-        floor: ClusterSnapshot,
-        held: dict[str, Vector],
-        least: int,
+        snapshot: ClusterSnapshot,
+        queue_usage: dict[str, Vector],
+        lowest_urgency: int,
         gates: Gates,
     ) -> None:
         self.gates = gates
         self.queues = queues
         self.teams = teams
-        self.snapshot = floor
-        self.queue_usage = held
-        self.lowest_urgency = least
+        self.snapshot = snapshot
+        self.queue_usage = queue_usage
+        self.lowest_urgency = lowest_urgency
 
     def by_queue(self, ready: dict[str, list[Job]]) -> dict[str, QueueDemand]:
-        """Classes by steps 1 to 3, and what each queue's bursts need now."""
+        """Return each queue's demand: its kind by steps 1 to 3 and what its bursts need now.
+
+        `ready` maps a queue to its jobs that may start. The kinds are stored in the queue records.
+        """
         queues = self.queues
         for jobs in ready.values():
             queues.queue_record(jobs[0])
-        # C is 0 at the start: what is guaranteed will be rented, so it counts as room.
+        # The capacity C of the paper is 0 before any machine reports. What is guaranteed to teams
+        # will be rented, so it counts as capacity in admission.
         teams = self.teams.values()
         promised = (sum(t.cpus for t in teams), sum(t.gpus for t in teams), 0.0)
         admission_room = tuple(
@@ -44,8 +52,8 @@
         kinds = admit(declarations, admission_room, queues.settings.operator.nmin)
         demands: dict[str, QueueDemand] = {}
         for queue, jobs in sorted(ready.items(), key=lambda q: -max(j.spec.rank for j in q[1])):
-            guest = queues.is_best_effort(jobs[0])
-            kind = QueueKind.ELASTIC if guest else kinds.get(queue, QueueKind.ELASTIC)
+            best_effort = queues.is_best_effort(jobs[0])
+            kind = QueueKind.ELASTIC if best_effort else kinds.get(queue, QueueKind.ELASTIC)
             record = queues.queue_record(jobs[0])
             if queue == jobs[0].queue and record.kind != kind.value:
                 record.kind = kind.value
@@ -59,14 +67,15 @@
                 remaining += work * dominant(job.spec.room, self.snapshot.capacity)
             declaration = declarations.get(queue)
             rate = declaration.rate if declaration else ZERO
-            # Bursts that overlap add up: the rate is at least what they hold and what their
-            # next bounds still lack. (Jobs without a waiting task hold room, too: counted
-            # for some only, they would use up what the others are granted.)
+            # Overlapping bursts add up: the rate is at least what the queue holds plus what its
+            # jobs still lack for their next bounds. The sum starts from all that the queue holds,
+            # because jobs without waiting tasks hold resources too; if they were left out, they
+            # would use up what the other jobs are granted.
             now = self.queue_usage[queue]
             for job in jobs:
-                lack = min(job.startable, max(0, self.tasks_needed_now(job) - len(job.live)))
-                lack = self.gates.able(job, lack)
-                now = plus(now, tuple(a * lack for a in job.spec.room))
+                missing = min(job.startable, max(0, self.tasks_needed_now(job) - len(job.live)))
+                missing = self.gates.able(job, missing)
+                now = plus(now, tuple(a * missing for a in job.spec.room))
             demands[queue] = QueueDemand(
                 queue,
                 jobs[0].spec.owner,
@@ -76,18 +85,19 @@
                 tuple(max(a, b) for a, b in zip(rate, now, strict=True)),
                 remaining,
                 urgency=max(job.spec.rank for job in jobs),
-                needed_now=ZERO if guest else now,
-                is_best_effort=guest,
+                needed_now=ZERO if best_effort else now,
+                is_best_effort=best_effort,
                 usage=self.queue_usage[queue],
             )
         return demands
 
     def waits_for_local_image(self, job: Job) -> bool:
-        """Whether enough machines hold a job's image, so that it need not be fetched to others.
+        """Whether a job should wait for machines that already hold its image.
 
-        Their CPUs come free about once a run; in the job's slack that has to
-        suffice several times over, since others want them too. Only for half of
-        that time: machines that hold the image may never suit this job.
+        The CPUs of those machines become free about once per run time. Within the job's slack
+        they must cover its waiting tasks several times over, since other jobs want them too. The
+        job waits for at most half of that time, because the machines that hold the image may
+        never become usable for it.
         """
         queues = self.queues
         if not job.spec.pullGb or job.spec.shape == "gang" or not queues.prefers_local_image(job):
@@ -96,18 +106,19 @@
         least = 2 * (run_s + queues.image_fetch_s(job))
         slack = queues.slack_s(job)
         time = least if slack == float("inf") else max(slack, least)
-        turns = self.snapshot.image_cpus[job.spec.bundle] * time / run_s
-        if turns < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
+        runs_per_slack = self.snapshot.image_cpus[job.spec.bundle] * time / run_s
+        if runs_per_slack < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
             return False
         if job.stays_until is None:
             job.stays_until = self.snapshot.now + time / 2
         return self.snapshot.now < job.stays_until
 
     def tasks_needed_now(self, job: Job) -> int:
-        """What a job's next bound needs now; the least urgent work is in time just in time.
+        """How many of a job's tasks must run now to meet its next bound.
 
-        More urgent work gets its room early: estimates err, images come late,
-        and what runs just in time for it would keep it waiting.
+        Work of the lowest urgency is scheduled to end exactly at its bound. More urgent work gets
+        its resources earlier, because estimates err, images arrive late, and less urgent tasks
+        that were started in the meantime would keep it waiting.
         """
         early = job.spec.rank > self.lowest_urgency
         return self.queues.required_concurrency(job, constants.EARLY_PART if early else 1.0)
--- a/src/chalkgrade/sharing/largest_jobs.py
+++ b/src/chalkgrade/sharing/largest_jobs.py
@@ -1,8 +1,9 @@
-"""A class's largest jobs, and which of them have waited for too long. Pure.
+"""Finds the largest jobs of each class that have waited for too long. Pure functions.
 
-Shortest remaining first (step 5) and arrival after a missed bound both put a queue's largest
-jobs last: while a flood lasts there is always something smaller, or something that can still
-meet its bound. The floor sees queues, and a queue whose small jobs are served has no claim.
+Shortest remaining time first (step 5) and the order after a missed bound both put a queue's
+largest jobs last: while it is overloaded, there is always a smaller job, or one that can still
+meet its bound. The starvation guard works on queues, so that it does not help a queue whose small
+jobs are served.
 """
 
 import heapq
@@ -15,34 +16,35 @@
 
 
 def requested_cpus(job: Job) -> float:
-    """CPUs that all of it asks for."""
+    """Return the CPUs that all tasks of a job ask for together."""
     return job.spec.tasks * job.spec.vcpus
 
 
 def overdue_largest_jobs(
     jobs: Iterable[Job], wall: float, slack: Callable[[Job], float]
 ) -> dict[str, list[Job]]:
-    """By queue, those of a class's largest unfinished jobs that have waited for long.
+    """Return by queue those of each class's largest unfinished jobs that have waited too long.
 
-    Step 5 has its turn first: a job that can still meet a bound (`slack`) waits for longer.
-    The oldest first. The time of submission and the size are durable, so that another leader
-    goes on with the same jobs. With all that is there already: a job whose last tasks run
-    counts for what its queue's largest hold.
+    `wall` is the wall time in seconds, and `slack` returns the seconds a job can still wait and
+    meet a bound. A job that can still meet a bound is left to step 5 for longer. The oldest job
+    comes first. Submission time and size are durable, so that a new leader continues with the
+    same jobs. Jobs without waiting tasks are included, because what their last tasks hold counts
+    towards the part reserved for the queue's largest jobs.
     """
-    of_class: dict[str, list[Job]] = defaultdict(list)
+    jobs_by_class: dict[str, list[Job]] = defaultdict(list)
     for job in jobs:
         if not job.aborted and job.spec.shape != "service":
-            of_class[job.spec.jobclass].append(job)
+            jobs_by_class[job.spec.jobclass].append(job)
     out: dict[str, list[Job]] = defaultdict(list)
-    for mates in of_class.values():
-        count = math.ceil(constants.LARGEST_PART * len(mates))
-        least = heapq.nlargest(count, map(requested_cpus, mates))[-1]
-        for job in mates:
-            if requested_cpus(job) < least or wall - job.open_at <= constants.LARGEST_WAIT_S:
+    for group in jobs_by_class.values():
+        count = math.ceil(constants.LARGEST_PART * len(group))
+        min_cpus = heapq.nlargest(count, map(requested_cpus, group))[-1]
+        for job in group:
+            if requested_cpus(job) < min_cpus or wall - job.open_at <= constants.LARGEST_WAIT_S:
                 continue
-            in_time = 0 <= slack(job) < math.inf
-            if not in_time or wall - job.open_at > constants.LARGEST_LATEST_S:
+            can_meet_bound = 0 <= slack(job) < math.inf
+            if not can_meet_bound or wall - job.open_at > constants.LARGEST_LATEST_S:
                 out[job.group].append(job)
-    for mates in out.values():
-        mates.sort(key=lambda job: (job.open_at, job.name))
+    for group in out.values():
+        group.sort(key=lambda job: (job.open_at, job.name))
     return out
--- a/src/chalkgrade/sharing/preemption.py
+++ b/src/chalkgrade/sharing/preemption.py
@@ -1,7 +1,7 @@
-"""Making room: keeping what frees up for granted work, stopping what may be stopped.
+"""Reservation of machines for granted work, and preemption of running tasks.
 
-The rules are the protocol's: work of a lower priority; for work within its team's
-guarantee, what other teams run beyond theirs. Nothing else is ever stopped here.
+By the rules of the protocol, a job may preempt work of a lower priority, and work within its
+team's guarantee may preempt what other teams run beyond theirs. Nothing else is ever stopped here.
 """
 
 import logging
@@ -27,11 +27,14 @@
 
 
 def _completions_by_team(slots: Iterable[Slot]) -> dict[str, tuple[list[float], list[Vector]]]:
-    """By team, in how many seconds its tasks end, and the room of all that end by then."""
+    """Return by team the seconds until each of its tasks ends, and the resources freed by then.
+
+    The times are sorted; the amounts are cumulative and start with zero.
+    """
     rows: dict[str, list[tuple[float, Vector]]] = defaultdict(list)
     for slot in slots:
-        for mate in slot.occupants:
-            rows[mate.owner].append((mate.left_s, mate.room))
+        for occupant in slot.occupants:
+            rows[occupant.owner].append((occupant.left_s, occupant.room))
     out: dict[str, tuple[list[float], list[Vector]]] = {}
     for owner, ends in rows.items():
         ends.sort()
@@ -41,50 +44,53 @@
 
 
 class VictimFilter(Enum):
-    """Whom a search for room may stop, among those whom the rules let it stop."""
+    """Restricts a search for victims further than the rules of preemption do."""
 
     ALL = "all"
-    BEST_EFFORT = "guests"  # of what others run beyond their guarantees, the guests' part
-    CHECKPOINTED = "savers"  # what saves its progress
+    BEST_EFFORT = "guests"  # of borrowed resources, only those of teams without a guarantee
+    CHECKPOINTED = "savers"  # only tasks that save their progress
 
 
 class Preemptor:
-    """The room that one round keeps and makes."""
+    """Reserves machines and preempts running tasks in one round."""
 
     def __init__(
         self,
-        floor: ClusterSnapshot,
+        snapshot: ClusterSnapshot,
         queues: Queues,
         gates: Gates,
-        maxima: TeamLimits,
-        kept: SlotReservations,
-        rooms: Collection[Vector],
+        team_limits: TeamLimits,
+        reservations: SlotReservations,
+        startable_rooms: Collection[Vector],
         preempt: bool,
     ) -> None:
-        self.snapshot = floor
+        self.snapshot = snapshot
         self.queues = queues
         self.gates = gates
-        self.team_limits = maxima
-        self.teams: dict[str, Team] = maxima.teams
-        self.reservations = kept
-        self.startable_rooms = rooms  # of all tasks that may start
-        self.preempt = preempt  # whether running work may be stopped in this round
+        self.team_limits = team_limits
+        self.teams: dict[str, Team] = team_limits.teams
+        self.reservations = reservations
+        self.startable_rooms = startable_rooms  # resource requests of all tasks that may start
+        self.preempt = preempt  # whether running tasks may be stopped in this round
         self.preempted_count = 0
-        self.within_guarantee = False  # placing what a guarantee covers
+        self.within_guarantee = False  # the round places what guarantees cover
         self.victim_filter = VictimFilter.ALL
         self._offers: dict[object, Offers] = {}
-        # By team, when its tasks end by themselves, and the room of all until then.
+        # Cached result of `_completions_by_team`.
         self._completions: dict[str, tuple[list[float], list[Vector]]] | None = None
 
-    # -- what gates may ask of it (`seams.gates.Stops`) ---------------------------------
+    # -- methods for start constraints ---------------------------------------------------
 
     def own_room(self, job: Job) -> bool:
+        """Preempt less urgent work of the job's own team for one task; whether that succeeded."""
         return self._preempt_on_one_machine(job, self.snapshot.zones, True, self.worth(job)) > 0
 
     def ending(self, owner: str, within_s: float) -> Vector:
-        """Asked for each refused job of a team at its maximum: the machines are gone through once.
+        """Return the resources of a team's tasks that end by themselves within some seconds.
 
-        Found at 4,000 machines in the region: going through them for each took 260 of 620 s.
+        It is called for each refused job of a team at its maximum, so that the completion times
+        of all tasks are cached. In a simulation of 4,000 machines, iterating over them for each
+        job took 260 of 620 s.
         """
         if self._completions is None:
             self._completions = _completions_by_team(self.snapshot.all_slots())
@@ -92,9 +98,11 @@
         return sums[bisect_right(times, within_s)]
 
     def machines(self) -> int:
+        """Return the number of usable machines."""
         return len(self.snapshot.all_slots())
 
     def may_stop(self, attempt: Attempt, job: Job) -> bool:
+        """Whether the rules of preemption let the attempt be stopped for the job."""
         spec = attempt.job.spec
         if spec.rank < job.spec.rank and not attempt.guarded:
             return True
@@ -102,17 +110,20 @@
         return spec.owner != job.spec.owner and over is not None and fits(spec.room[:2], over)
 
     def loss(self, attempt: Attempt) -> float:
+        """CPU-seconds of work that stopping the attempt now would lose."""
         return self.snapshot.occupant(attempt).lost
 
     def worth(self, job: Job) -> float:
+        """CPU-seconds of work that may be lost for one of the job's tasks."""
         return constants.PREEMPT_RATIO * job.spec.vcpus * self.queues.expected_run_s(job)
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
+        """Stop attempts in favour of a job."""
         for attempt in attempts:
             attempt.kill_at = self.snapshot.now
             self.preempted_count += 1
             log.debug(
-                "stopping %s on %s for %s",
+                "attempt preempted: %s on %s for job %s",
                 attempt.label,
                 attempt.machine,
                 job.name,
@@ -121,14 +132,14 @@
                 ),
             )
 
-    # -- keeping and making it ----------------------------------------------------------
+    # -- reservation and preemption -----------------------------------------------------
 
     def reserve_or_preempt(self, job: Job) -> None:
-        """Keep machines that will have room soonest for granted tasks that found none.
+        """Reserve the machines that have room soonest for granted tasks that found none.
 
-        Without this, small tasks refill every gap and a task that needs half a
-        machine or more waits for ever. Urgent work that would come too late
-        stops less urgent work where that loses least.
+        Without this, small tasks fill every gap, and a task that needs half a machine or more
+        waits forever. If a reservation would come too late, less urgent work is preempted where
+        that loses least.
         """
         waits = self.reserve_soonest(job, job.startable, constants.RESERVE_PART)
         zones = self.gates.sites(job, self.snapshot.zones)
@@ -139,11 +150,12 @@
                 return
 
     def reserve_for_starved(self, job: Job, count: int) -> None:
-        """Keep machines for a starving queue, the same ones from round to round.
+        """Reserve machines for a starved queue, the same ones from round to round.
 
-        Which machine has room soonest changes with every overdue task. Seen on seeded days
-        of six times the work: the machine that was kept was another one every second, the
-        CPUs that had come free on the last one were taken, and none was ever empty.
+        Which machine has room soonest changes with every overdue task. If each round chose anew,
+        under six times the load that can be served the reservation would move to another machine
+        every second, the CPUs freed on the previous one would be taken, and no machine would ever
+        become empty.
         """
         now = self.snapshot.now
 
@@ -162,14 +174,15 @@
             self.snapshot.fleet.machines[slot.name].drains = (job.group, now)
 
     def reserve_soonest(self, job: Job, count: int, part: float) -> list[float]:
-        """Keep the machines that have room soonest for so many tasks; when they will have.
+        """Reserve the machines that have room soonest; return the seconds until each has it.
 
-        No more machines than a part of all are kept, for whomever.
+        `count` is the number of tasks. At most `part` of all machines are reserved at a time, for
+        all jobs together.
         """
         kept = self._reserve_slots(job, count, part, lambda: self.snapshot.suitable_slots(job.spec))
         names = {slot.name for slot in kept}
         if not names:
-            return []  # so it mostly is: the machines are not gone through for it
+            return []  # the common case, which need not iterate over the machines
         return [wait for wait, name, _ in self.snapshot.suitable_slots(job.spec) if name in names]
 
     def _reserve_slots(
@@ -179,78 +192,84 @@
         part: float,
         order: Callable[[], Iterable[tuple[float, str, Slot]]],
     ) -> list[Slot]:
-        """`order`: the machines, worked out only where some may be kept."""
+        """Reserve slots for a job; `order` lists them and is called only if any may be reserved."""
         spec = job.spec
         if not any(fits(room, spec.room) and room != spec.room for room in self.startable_rooms):
-            return []  # nothing smaller waits: whatever frees up is as good for this job
+            return []  # no smaller task waits that could take what becomes free for this job
         zones = self.gates.sites(job, self.snapshot.zones)
-        every = len(self.snapshot.slots) + len(self.snapshot.full_machines)
-        most = math.ceil(every * part) - self.reservations.reserved_machines
+        machine_total = len(self.snapshot.slots) + len(self.snapshot.full_machines)
+        most = math.ceil(machine_total * part) - self.reservations.reserved_machines
         most = self.gates.able(job, min(count, most))
         out: list[Slot] = []
         for _, _, slot in order() if most > 0 else ():
             if len(out) >= most:
                 break
-            # What was placed there in this round is not in its wait: it is not soon free.
+            # The wait does not include tasks placed on the slot in this round.
             if not slot.kept_for and slot.site in zones and not slot.touched:
                 out.append(slot)
                 self.reservations.reserve_slot(job, slot)
         return out
 
     def reclaim_borrowed(self, jobs: list[Job]) -> None:
-        """Guaranteed work behind what its next bound needs gets back what guests hold.
+        """Preempt best-effort work for guaranteed jobs behind what their next bounds need.
 
-        Guests fill what is idle, with tasks that may run longer than a deadline
-        of those whom the room is promised to.
+        Best-effort work uses idle resources, with tasks that may run longer than the deadlines of
+        the teams to which the resources are guaranteed.
         """
         self._preempt_for_late_jobs(
             jobs, self.queues.required_concurrency, VictimFilter.BEST_EFFORT
         )
 
     def preempt_checkpointed(self, jobs: list[Job], needed: Callable[[Job], int]) -> None:
-        """Work behind what its next bound needs stops less urgent work that saves.
+        """Preempt less urgent checkpointed work for jobs behind what their next bounds need.
 
-        What saves loses seconds and goes on elsewhere, but holds its room for longer
-        than a short burst may take in all. Without this, the smallest tasks, for
-        which no room is kept, wait until longer and less urgent ones end.
+        A checkpointed task loses only seconds and continues on another machine, but would hold its
+        resources for longer than a short burst may take in total. Without this, the smallest
+        tasks, for which nothing is reserved, wait until longer and less urgent tasks end.
         """
         self._preempt_for_late_jobs(jobs, needed, VictimFilter.CHECKPOINTED)
 
     def _preempt_for_late_jobs(
-        self, jobs: list[Job], needed: Callable[[Job], int], only: VictimFilter
+        self, jobs: list[Job], needed: Callable[[Job], int], victim_filter: VictimFilter
     ) -> None:
-        """Stop what may be stopped for jobs that are behind, on a part of the machines."""
-        behind: list[tuple[Job, int]] = []
+        """Preempt for jobs that lack tasks for their next bound, on `RETURN_PART` of the machines.
+
+        `needed` returns how many of a job's tasks must run now.
+        """
+        late_jobs: list[tuple[Job, int]] = []
         for job in jobs:
             if self.preempt and self.queues.clock.wall() - job.open_at > constants.PREEMPT_WAIT_S:
                 count = self.gates.able(job, min(job.startable, needed(job) - len(job.live)))
                 if count > 0 and not self.queues.is_best_effort(job):
-                    behind.append((job, count))
-        if not behind:
+                    late_jobs.append((job, count))
+        if not late_jobs:
             return
         slots = self.snapshot.all_slots()
-        mates = (mate for slot in slots for mate in slot.occupants)
-        # What was told to stop in earlier rounds is on its way.
-        coming = sum(mate.room[0] for mate in mates if mate.stopping)
+        occupants = (occupant for slot in slots for occupant in slot.occupants)
+        # CPUs of tasks that earlier rounds have told to stop will become free.
+        cpus_being_freed = sum(occupant.room[0] for occupant in occupants if occupant.stopping)
         most = max(1, int(constants.RETURN_PART * len(slots)))
-        self.victim_filter = only
-        for job, count in behind:
+        self.victim_filter = victim_filter
+        for job, count in late_jobs:
             vcpus = max(job.spec.vcpus, 1e-3)
-            there = min(count, int(coming / vcpus))
-            coming -= there * vcpus
-            count -= there
+            already_freed = min(count, int(cpus_being_freed / vcpus))
+            cpus_being_freed -= already_freed * vcpus
+            count -= already_freed
             work = self.worth(job)
             zones = self.gates.sites(job, self.snapshot.zones)
             while count > 0 and most > 0:
-                made = self._preempt_on_one_machine(job, zones, False, work)
-                if not made:
+                tasks_with_room = self._preempt_on_one_machine(job, zones, False, work)
+                if not tasks_with_room:
                     break
-                count -= made if only is VictimFilter.CHECKPOINTED else 1
+                count -= tasks_with_room if victim_filter is VictimFilter.CHECKPOINTED else 1
                 most -= 1
         self.victim_filter = VictimFilter.ALL
 
     def _borrowed_by_team(self) -> dict[str, Vector]:
-        """What teams run beyond their guarantees: borrowed room, to be returned."""
+        """Return the CPUs and GPUs that each team uses beyond its guarantee.
+
+        Tasks that are being stopped do not count.
+        """
         out: dict[str, Vector] = {}
         for name, team in self.teams.items():
             cpus, gpus, _ = self.team_limits.usage[name]
@@ -263,18 +282,19 @@
         return out
 
     def _preempt_on_one_machine(self, job: Job, zones: set[str], own: bool, most: float) -> int:
-        """Stop the less urgent tasks whose loss is least; for how many tasks that makes room.
+        """Preempt the tasks whose loss is least; return for how many tasks that makes room.
 
-        `most`: CPU-seconds that may be lost for one task.
+        `own`: only tasks of the job's own team. `most`: CPU-seconds of work that may be lost for
+        one task.
         """
-        spec, only = job.spec, self.victim_filter
+        spec, victim_filter = job.spec, self.victim_filter
         if not self.preempt or self.queues.slack_s(job) < 0:
-            return 0  # too late already: nobody else's work is given up for it
-        key = (spec.suits, spec.rank, spec.owner, own, self.within_guarantee, only)
+            return 0  # all bounds are missed, so that no other work is sacrificed for it
+        key = (spec.suits, spec.rank, spec.owner, own, self.within_guarantee, victim_filter)
         if key not in self._offers:
             slots = [slot for _, _, slot in self.snapshot.suitable_slots(spec)]
             excess = self._borrowed_by_team() if self.within_guarantee else None
-            if only is VictimFilter.BEST_EFFORT and excess is not None:
+            if victim_filter is VictimFilter.BEST_EFFORT and excess is not None:
                 guests = {name for name, team in self.teams.items() if not (team.cpus or team.gpus)}
                 excess = {name: over for name, over in excess.items() if name in guests}
             self._offers[key] = Offers(
@@ -282,8 +302,8 @@
                 slots,
                 own,
                 excess,
-                only is VictimFilter.BEST_EFFORT,
-                only is VictimFilter.CHECKPOINTED,
+                victim_filter is VictimFilter.BEST_EFFORT,
+                victim_filter is VictimFilter.CHECKPOINTED,
             )
 
         def is_open(slot: Slot) -> bool:
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -1,9 +1,9 @@
-"""The state of `shares`: what is known of each queue, and what follows for its jobs.
+"""The state that `bopf` needs: a record of each queue, and the estimates for its jobs.
 
-A queue is a team's jobs of one class. Its declaration is derived from what is
-submitted (paper, 3.5), its estimates are corrected by the run times observed.
-Records of all queues are kept in the state service across leaders: in one value where all
-fit, else the first ones there and others in parts beside it.
+A queue holds one team's jobs of one class. Its declaration is derived from what is submitted
+(section 3.5 of the paper), and its estimates are corrected by observed run times. The records of
+all queues are kept in the state service, so that a new leader has them. They are stored in one
+value if they fit, otherwise further records are stored in additional values.
 """
 
 import math
@@ -23,59 +23,63 @@
 from chalkgrade.vectors import Vector
 
 SHARES_KEY = "cg/shares"
-QUEUE_RECORD_BYTES = 250  # bytes; a record of a queue beside its name, numbers rounded
+QUEUE_RECORD_BYTES = 250  # a queue's record without its name, with rounded numbers
 ZERO: Vector = (0.0, 0.0, 0.0)
 
 
 class QueueRecord(msgspec.Struct):
-    """What is kept of a queue across leaders."""
-
-    burst: Vector = ZERO  # amount-seconds a burst asks for, smoothed
-    coming: Vector = ZERO  # the same of the burst that is coming in
-    began: float = 0.0  # wall time of its first job
-    period: float = 0.0  # s between bursts, smoothed
-    deadline: float = 0.0  # s a burst has, smoothed; 0: a batch queue
-    correction: float = 1.0  # observed run time over the owner's estimate
+    """The state of a queue that is kept across leaders."""
+
+    burst: Vector = ZERO  # amount-seconds that a burst asks for, smoothed
+    coming: Vector = ZERO  # amount-seconds submitted so far in the current burst
+    began: float = 0.0  # wall time of the current burst's first job
+    period: float = 0.0  # seconds between bursts, smoothed
+    deadline: float = 0.0  # seconds within which a burst has to end, smoothed; 0: a batch queue
+    correction: float = 1.0  # ratio of observed run time to the owner's estimate
     last: float = 0.0  # wall time of the last submission
-    kind: str = "elastic"
+    kind: str = "elastic"  # value of the queue's `QueueKind`
 
 
 class QueueRecords(msgspec.Struct):
+    """One stored value: records by queue name."""
+
     queues: dict[str, QueueRecord] = {}
 
 
 def _rounded(record: QueueRecord) -> QueueRecord:
-    """What is kept of it: estimates need no sixteen digits."""
+    """Return a copy to store, with numbers rounded to two decimals to save space."""
 
-    def short(value: Any) -> Any:
+    def rounded(value: Any) -> Any:
         if isinstance(value, tuple):
-            return tuple(short(part) for part in value)
+            return tuple(rounded(part) for part in value)
         return round(value, 2) if isinstance(value, float) else value
 
     names = QueueRecord.__struct_fields__
-    return QueueRecord(**{name: short(getattr(record, name)) for name in names})
+    return QueueRecord(**{name: rounded(getattr(record, name)) for name in names})
 
 
 class Queues:
-    """All queues' records, and the estimates that rounds and renting share."""
+    """The records of all queues, and the estimates that scheduling and renting share."""
 
     def __init__(
         self,
         settings: Settings,
         clock: Clock,
         flavors: dict[str, Flavor],
-        value_b: int = 16 * 1024,
+        max_value_bytes: int = 16 * 1024,
     ) -> None:
-        """`value_b`: bytes that a value kept across leaders may take."""
+        """`max_value_bytes` is the maximum size in bytes of a value in the state service."""
         self.settings = settings
         self.flavors = flavors
         self.clock = clock
-        self._classes_with_objectives = {aim.jobclass for aim in settings.cluster.objectives}
+        self._classes_with_objectives = {
+            objective.jobclass for objective in settings.cluster.objectives
+        }
         self.stored = QueueRecords()
-        self._max_value_bytes = value_b
-        self._part_of_queue: dict[str, int] = {}  # queue -> the part that holds its record
-        self._part_bytes: list[int] = []  # bytes by part
-        count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / value_b))
+        self._max_value_bytes = max_value_bytes
+        self._part_of_queue: dict[str, int] = {}  # queue -> number of the value with its record
+        self._part_bytes: list[int] = []  # estimated bytes in each of these values
+        count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / max_value_bytes))
         self.stored_parts = [
             Kept(
                 f"{SHARES_KEY}/{number}" if number else SHARES_KEY,
@@ -85,21 +89,30 @@
             for number in range(count)
         ]
         self.image_cpus: dict[str, float] = {}  # image -> CPUs of the machines that hold it
-        self.peak_capacity: Vector = ZERO  # the most room seen to report: C in admission
+        # Largest capacity of reporting machines seen so far: C in admission.
+        self.peak_capacity: Vector = ZERO
 
     def _load(self, raw: bytes) -> None:
-        """Take over one part; the version before knows the first only, and may know better."""
+        """Load one stored value; of two records of a queue, the one used last is kept.
+
+        The previous software version reads and writes only the first value, so that a record in
+        it may be newer than the one in another value.
+        """
         for name, record in msgspec.json.decode(raw, type=QueueRecords).queues.items():
-            known = self.stored.queues.get(name)
-            if known is None or record.last > known.last:
+            existing = self.stored.queues.get(name)
+            if existing is None or record.last > existing.last:
                 self.stored.queues[name] = record
 
     def _dump(self, number: int) -> QueueRecords:
+        """Return the content to store in one value."""
         names = [name for name, part in self._part_of_queue.items() if part == number]
         return QueueRecords({name: _rounded(self.stored.queues[name]) for name in names})
 
     def _assign_parts(self) -> None:
-        """Give each queue a part that has room; what has none is not kept, only estimated anew."""
+        """Assign each queue without one a value that has room for its record.
+
+        A queue beyond the last value is not stored; a new leader estimates it again.
+        """
         for name in self.stored.queues.keys() - self._part_of_queue.keys():
             size = QUEUE_RECORD_BYTES + 2 * len(name)
             part = next(
@@ -112,24 +125,25 @@
             self._part_of_queue[name] = part
 
     def mark_changed(self, queue: str) -> None:
-        """A queue's record is to be written: its class has changed."""
+        """Request that a queue's record be written, after its kind has changed."""
         self._assign_parts()
         part = self._part_of_queue[queue]
         if part < len(self.stored_parts):
             self.stored_parts[part].touch()
 
     def queue_record(self, job: Job) -> QueueRecord:
+        """Return the record of a job's queue, created if there is none."""
         return self.stored.queues.setdefault(job.queue, QueueRecord())
 
     def observe_submission(self, job: Job) -> None:
-        """Derive a queue's declaration from what is submitted.
+        """Update a queue's declaration with a submitted job.
 
-        Jobs that come together are one burst. Taken one by one, they would
-        claim a period of a moment, fail the safety check, and lose their rate.
+        Jobs submitted within `BURST_GAP_S` of each other form one burst. As separate bursts, they
+        would declare a period of nearly zero, fail the safety check and lose their rate.
         """
         record, spec = self.queue_record(job), job.spec
         work = spec.tasks * max(spec.expectedS, 1.0) * record.correction
-        more = tuple(amount * work for amount in spec.room)
+        burst_work = tuple(amount * work for amount in spec.room)
         alpha = constants.ESTIMATE_ALPHA
         due = spec.dueS or min((a.within_s for a in self._objectives(job, "finished")), default=0.0)
         if record.last == 0.0:
@@ -143,25 +157,30 @@
             record.period += alpha * (job.open_at - record.began - record.period)
             record.coming, record.began = ZERO, job.open_at
         record.deadline += alpha * (due - record.deadline)
-        record.coming = tuple(map(add, record.coming, more))
+        record.coming = tuple(map(add, record.coming, burst_work))
         record.last = max(record.last, job.open_at)
 
     def observe_run(self, job: Job, seconds: float) -> None:
+        """Update a queue's correction with a task's run time, if its owner gave an estimate."""
         if job.spec.expectedS <= 0:
             return
         record = self.queue_record(job)
         ratio = seconds / job.spec.expectedS
         ratio = min(constants.CORRECTION_MAX, max(constants.CORRECTION_MIN, ratio))
-        # Runs of one job are alike: each counts as part of one observation.
+        # Tasks of one job have similar run times, so that together they count as one observation.
         alpha = constants.ESTIMATE_ALPHA / job.spec.tasks
         record.correction += alpha * (ratio - record.correction)
 
     @property
     def last_submission_at(self) -> float:
-        """Wall time of the last submission of all."""
+        """Wall time of the last submission to any queue."""
         return max((record.last for record in self.stored.queues.values()), default=0.0)
 
     def declarations(self) -> dict[str, BurstDeclaration | None]:
+        """Return the declaration of each queue, None for a batch queue.
+
+        Bursts in the operator's settings replace the derived declarations.
+        """
         out: dict[str, BurstDeclaration | None] = {}
         for name, record in self.stored.queues.items():
             bursty = record.deadline > 0 and record.period > 0
@@ -175,29 +194,34 @@
         return out
 
     def expected_run_s(self, job: Job) -> float:
-        """Expected run time of one task, corrected by what was observed."""
+        """Expected run time of one task in seconds, corrected by observed run times; 1 at least."""
         record = self.stored.queues.get(job.queue)
         return max(1.0, job.spec.expectedS * (record.correction if record else 1.0))
 
     def remaining_run_s(self, attempt: Attempt, now: float) -> float:
-        """How long an attempt will still run; an overdue one, for a part of what it has run."""
+        """How many seconds an attempt will still run, including its image fetch.
+
+        An overdue attempt is expected to run for `OVERDUE_PART` of the time it has run so far.
+        """
         run_s = self.expected_run_s(attempt.job)
         if not attempt.since:
-            gone = now - attempt.decided if attempt.decided else 0.0
-            return run_s + max(0.0, self.image_fetch_s(attempt.job) - gone)
-        ran = now - attempt.since
-        return max(run_s - ran, constants.OVERDUE_PART * ran)
+            elapsed_s = now - attempt.decided if attempt.decided else 0.0
+            return run_s + max(0.0, self.image_fetch_s(attempt.job) - elapsed_s)
+        run_so_far_s = now - attempt.since
+        return max(run_s - run_so_far_s, constants.OVERDUE_PART * run_so_far_s)
 
     def _objectives(self, job: Job, kind: str) -> list[Objective]:
-        aims = self.settings.cluster.objectives
-        return [a for a in aims if a.jobclass == job.spec.jobclass and a.kind == kind]
+        """Return the objectives of one kind for the job's class."""
+        objectives = self.settings.cluster.objectives
+        return [a for a in objectives if a.jobclass == job.spec.jobclass and a.kind == kind]
 
     def scheduling_key(self, job: Job) -> tuple[float, ...]:
-        """Urgency first; then bursts that can still meet a bound, shortest remaining first.
+        """Sort key of jobs: by urgency, then those that can still meet a bound, shortest first.
 
-        Step 5 serves a soft burst until its deadline: past it, a burst yields to
-        those that can still be met; what was begun of those past it goes first, since parts
-        of all jobs end none. Jobs without any bound keep their order of arrival.
+        Step 5 serves a soft burst until its deadline. After its last bound, a job yields to those
+        that can still meet one. Among these late jobs, the ones that have started come first,
+        because parts of all of them would complete none. Jobs without bounds keep their order of
+        arrival.
         """
         age = self.clock.wall() - job.open_at
         run_s = self.expected_run_s(job)
@@ -205,48 +229,48 @@
         missed = sum(1 for bound in bounds if age + run_s > bound)
         remaining = 0.0
         if missed < len(bounds):
-            # Fetching keeps a CPU as busy as running: in an overload, a job whose image
-            # is nowhere near costs others more than its tasks' run time.
+            # A CPU is occupied during an image fetch as it is during a run: in an overload, a job
+            # whose image is on few machines costs other jobs more than its tasks' run time.
             waiting = len(job.waiting)
-            afar = max(
+            tasks_without_image = max(
                 0.0, waiting - self.image_cpus.get(job.spec.bundle, 0.0) / max(job.spec.vcpus, 1e-3)
             )
-            work = (waiting + len(job.live)) * run_s + afar * self.image_fetch_s(job)
+            work = (waiting + len(job.live)) * run_s + tasks_without_image * self.image_fetch_s(job)
             remaining = work * max(job.spec.vcpus, 1e-3)
         elif bounds:
             remaining = 0.0 if job.live or job.done else 1.0
         return self.is_best_effort(job), -job.spec.rank, missed, remaining, job.open_at
 
     def is_best_effort(self, job: Job) -> bool:
-        """Whether a job may have only what nobody else wants.
+        """Whether a job gets only what no other job wants.
 
-        A team without a guarantee beside teams that have one; and, whatever its
-        team, work that nobody stated an aim for and that has no deadline, where
-        other classes have aims.
+        That holds for jobs of a team without a guarantee if other teams have one. It also holds,
+        in any team, for jobs without a deadline whose class has no objectives if other classes
+        have some.
         """
         teams = self.settings.cluster.teams
         if any(team.cpus or team.gpus for team in teams):
-            own = next((team for team in teams if team.name == job.spec.owner), None)
-            if own is not None and not (own.cpus or own.gpus):
+            own_team = next((team for team in teams if team.name == job.spec.owner), None)
+            if own_team is not None and not (own_team.cpus or own_team.gpus):
                 return True
-        aims = self.settings.cluster.objectives
+        objectives = self.settings.cluster.objectives
         if job.piped:
-            return False  # what needs it, or will, has aims
+            return False  # the jobs that depend on it, now or later, have objectives
         return (
-            bool(aims)
+            bool(objectives)
             and job.spec.dueS is None
             and job.spec.jobclass not in self._classes_with_objectives
         )
 
     def due_times(self, job: Job) -> list[float]:
-        """Wall times by which the users count a job with a deadline as served."""
+        """Wall times by which the objectives count a job with a deadline as served."""
         due = job.spec.dueS
         if due is None:
             return []
         return [job.at + due * a.times for a in self._objectives(job, "deadline")] or [job.at + due]
 
     def expected_makespan_s(self, job: Job) -> float:
-        """From the moment in which a job may run until it is over, with room for all of it.
+        """Seconds from when a job may run until it ends, given room for all its tasks.
 
         Its tasks' run times differ, and the job ends with the last of them.
         """
@@ -257,56 +281,60 @@
         )
 
     def remaining_makespan_s(self, job: Job) -> float:
-        """How long a job that may run still takes, if what waits of it starts at once."""
+        """Seconds until a job that may run ends, if its waiting tasks start at once."""
         now = self.clock.now()
-        left = [self.remaining_run_s(attempt, now) for attempt in job.live.values()]
+        remaining_s = [self.remaining_run_s(attempt, now) for attempt in job.live.values()]
         if len(job.waiting):
-            left.append(self.start_delay_s(job) + self.expected_run_s(job))
-        return constants.STAGE_S + max(left, default=0.0)
+            remaining_s.append(self.start_delay_s(job) + self.expected_run_s(job))
+        return constants.STAGE_S + max(remaining_s, default=0.0)
 
     def completion_bounds_s(self, job: Job) -> list[float]:
-        """The times from when it could run by which it should be over.
+        """Seconds, counted from when the job could run, within which it should be over.
 
-        Its own deadline counts from its submission, however long it waited for others; that
-        of a job which needs it lies before that one's by what comes between (`pipelines`).
+        Its own deadline counts from its submission, however long it waited for the jobs it depends
+        on. Without one, the deadline of a job that depends on it applies, less the time of the
+        jobs in between (`pipelines`).
         """
-        dues = self.due_times(job) or job.due_at
-        if dues:
-            return [due - job.open_at for due in dues]
+        due_walls = self.due_times(job) or job.due_at
+        if due_walls:
+            return [due - job.open_at for due in due_walls]
         return [a.within_s for a in self._objectives(job, "finished")]
 
     def image_fetch_s(self, job: Job) -> float:
-        """How long a machine of the slowest kind fetches a job's image."""
-        pull = min((flavor.pullGbPerS for flavor in self.flavors.values()), default=1.0)
-        return job.spec.pullGb / max(pull, 1e-6)
+        """Seconds in which a machine of the slowest type fetches a job's image."""
+        slowest_gb_per_s = min((flavor.pullGbPerS for flavor in self.flavors.values()), default=1.0)
+        return job.spec.pullGb / max(slowest_gb_per_s, 1e-6)
 
     def start_delay_s(self, job: Job) -> float:
-        """From deciding an attempt to its start: the image, and the next report."""
+        """Seconds from the decision on an attempt to its start.
+
+        These are the image fetch and half a report interval, the mean wait for the next report.
+        """
         return self.image_fetch_s(job) + self.settings.cluster.workers.report_s / 2
 
     def prefers_local_image(self, job: Job) -> bool:
-        """Whether a job should look for its image first, at the cost of the order of jobs."""
+        """Whether a job prefers machines with its image, even at the cost of the job order."""
         return self.image_fetch_s(job) > constants.NEAR_RATIO * self.expected_run_s(job)
 
     def slack_s(self, job: Job) -> float:
-        """How long the last of a job's tasks may wait, for the next bound it can still meet.
+        """Seconds that a job's last task may wait and still meet the next bound within reach.
 
         Infinite for a job without bounds, negative when all are missed.
         """
         run_s = self.expected_run_s(job)
         latest = [bound - run_s for bound in self.completion_bounds_s(job)]
-        latest += [aim.within_s for aim in self._objectives(job, "wait")]
+        latest += [objective.within_s for objective in self._objectives(job, "wait")]
         if not latest:
             return float("inf")
-        gone = self.clock.wall() - job.open_at + self.start_delay_s(job)
-        return min((at - gone for at in latest if at >= gone), default=-1.0)
+        elapsed_s = self.clock.wall() - job.open_at + self.start_delay_s(job)
+        return min((at - elapsed_s for at in latest if at >= elapsed_s), default=-1.0)
 
     def required_concurrency(self, job: Job, part: float = 1.0) -> int:
-        """How many of a job's tasks must run at once for its next bound (step 4: d over t).
+        """How many of a job's tasks must run at once to meet its next bound (step 4: d over t).
 
-        Bursts of a queue overlap here, so that the fixed rate of a queue is the
-        sum of what its bursts need now, whole tasks and whole waves of them. They
-        are laid into a part of the time that is left.
+        Bursts of a queue may overlap in this system, so that the fixed rate of a queue is the sum
+        of what its bursts need now, in whole tasks and whole waves of tasks. The waves are planned
+        into `part` of the remaining slack. 0 without a bound that can still be met.
         """
         slack = self.slack_s(job)
         if slack < 0 or slack == float("inf"):
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -1,7 +1,7 @@
-"""One scheduling round: steps 4 to 7 of the design on the room that reports.
+"""One scheduling round: steps 4 to 7 of BoPF on the machines that report.
 
-Everything is worked out from the book and the fleet as they are now; what is
-decided goes back into both. No input or output.
+Everything is computed from the current jobs and fleet, and the decisions are stored in both. A
+round performs no input or output.
 """
 
 import itertools
@@ -43,7 +43,11 @@
 
 
 class SchedulingRound:
-    """Places what can be placed. `gates`: those of other subsystems."""
+    """Places the waiting tasks that can be placed now.
+
+    `gates` are the start constraints of other subsystems, and `preempt` says whether the round may
+    stop running tasks.
+    """
 
     def __init__(
         self,
@@ -68,18 +72,19 @@
             ZoneConstraints(fleet),
             SlotReservations(),
         )
-        # A seat comes before the maximum: for work without one nobody is stopped.
+        # Constraints of other subsystems, such as licence seats, precede the team limits, so that
+        # nothing is preempted for work that would then lack a seat.
         self.gates = Gates(
             [JobBackoff(), *gates, self.team_limits, self.zone_constraints, self.reservations]
         )
         self.queue_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
-        self.waits_for_images = True  # work may wait for machines that hold its image
+        self.waits_for_images = True  # jobs may wait for machines that hold their image
         self._pickers: dict[object, Picker] = {}
-        self.preempted_count = 0  # running tasks that were told to stop
-        self.placing_starved = False  # placing for queues that starve
+        self.preempted_count = 0  # running attempts that were told to stop
+        self.placing_starved = False  # placing tasks for starved queues; protects the attempts
 
     def run(self) -> int:
-        """Place what can be placed; how many attempts were decided."""
+        """Place what can be placed; return the number of new attempts."""
         ready: dict[str, list[Job]] = defaultdict(list)
         self.gates.begin(self.jobs.values(), self.now)
         for job in self.jobs.values():
@@ -110,7 +115,7 @@
         return placed
 
     def _place_ready_jobs(self, ready: dict[str, list[Job]]) -> int:
-        """Guaranteed work, then steps 4 to 7."""
+        """Place guaranteed work, then what steps 4 to 7 grant; return the number of attempts."""
         capacity = self.snapshot.capacity
         self.demand_calculator = DemandCalculator(
             self.queues,
@@ -130,11 +135,11 @@
         self.placing_starved = False
         first, rest = allocate(list(demands.values()), capacity)
         for _, group in itertools.groupby(first, key=lambda entry: demands[entry[0]].urgency):
-            # What bounds need, shortest remaining first: in an overload, parts of all
-            # bursts would end none of them in time. Anywhere, but first near its image.
-            alike = list(group)
+            # What completion bounds need, shortest remaining first: in an overload, serving parts
+            # of all bursts would complete none in time. Machines with the image come first.
+            same_urgency = list(group)
             for local in (True, False):
-                for queue, grant in alike:
+                for queue, grant in same_urgency:
                     budget = minus(grant, self.queue_usage[queue])
                     placed += self._place_within_budget(ready[queue], budget, not local, local)[0]
         first_jobs = [job for queue, _ in first for job in ready[queue]]
@@ -152,36 +157,37 @@
             order, key=lambda q: (demands[q].is_best_effort, demands[q].urgency)
         )
         for (_, urgency), names in ranks:
-            # Urgent work that is too late for its bounds would else never see two CPUs
-            # of one machine free at once: the small tasks behind it take each of them.
-            mates = [job for queue in names for job in ready[queue]]
+            # Machines are reserved above the lowest urgency. Otherwise urgent work that has missed
+            # its bounds would never find two free CPUs on one machine, because the small tasks
+            # after it take each of them.
+            same_urgency_jobs = [job for queue in names for job in ready[queue]]
             placed += self._place_preferring_local(
-                mates, None, reserve=urgency > self.lowest_urgency
+                same_urgency_jobs, None, reserve=urgency > self.lowest_urgency
             )
-        # What is left would idle: fetching images there takes nothing from anybody.
+        # The remaining resources would idle, so that fetching images there delays no other job.
         self.waits_for_images = False
         for queue in order:
             placed += self._place_within_budget(ready[queue], None, False)[0]
         return placed
 
     def _place_preferring_local(self, jobs: list[Job], budget: Vector | None, reserve: bool) -> int:
-        """Beyond what bounds need, work goes first to where its image is.
+        """Place jobs, first on machines that hold their images; return the number of attempts.
 
-        Fetching can take as long as running, and the CPU idles meanwhile. Only
-        within one urgency: less urgent work is never preferred for its image.
+        A fetch can take as long as a run, and the CPU idles meanwhile. The preference applies
+        within one urgency only: less urgent work never goes first because of its image.
         """
         placed = 0
         for _, group in itertools.groupby(jobs, key=lambda job: job.spec.rank):
-            mates = list(group)
+            same_urgency_jobs = list(group)
             for local in (True, False):
                 count, budget = self._place_within_budget(
-                    mates, budget, reserve and not local, local
+                    same_urgency_jobs, budget, reserve and not local, local
                 )
                 placed += count
         return placed
 
     def _place_guaranteed(self, ready: dict[str, list[Job]]) -> int:
-        """A team's jobs that fit within its guarantee need not wait on other teams."""
+        """Place jobs that fit within their team's guarantee, without regard to other teams."""
         within = []
         for team in self.teams.values():
             if team.cpus <= 0 and team.gpus <= 0:
@@ -193,8 +199,8 @@
                     for j in self.jobs.values()
                     if j.spec.owner == team.name and not j.aborted and not j.held
                 ),
-                # The team's urgent work counts first: else its batch jobs take, as
-                # guaranteed, the very room that was made for urgent ones.
+                # The team's urgent work counts first. Otherwise its batch jobs take, as
+                # guaranteed work, the resources that were freed for its urgent jobs.
                 key=lambda j: (-j.spec.rank, j.open_at, j.name),
             ):
                 left = job.startable + len(job.live)
@@ -205,7 +211,8 @@
                 within.append(job)
         names = {j.name for jobs in ready.values() for j in jobs}
         chosen = [job for job in within if job.name in names]
-        # Over all teams: an urgent job must not lose the first machine to another team's batch.
+        # Sort across teams, so that an urgent job does not lose a machine to another team's batch
+        # job.
         chosen.sort(key=self.queues.scheduling_key)
         self.preemptor.within_guarantee = True
         placed = self._place_preferring_local(chosen, None, reserve=True)
@@ -216,52 +223,55 @@
     def _place_starved(
         self, ready: dict[str, list[Job]], demands: dict[str, QueueDemand], capacity: Vector
     ) -> int:
-        """Who has waited for long gets half of its fair share, whatever the urgency of others.
+        """Give queues that have waited too long half of their fair share, whatever the urgency.
 
-        Step 6's fairness is over the long term, but what goes before it may last: urgent
-        work by the thousands, or narrow tasks that take each CPU before a whole machine is
-        free. Long is by the time of the oldest job, which is durable, so that a change of
-        leader forgets nothing. Nothing is stopped for it; room that frees up is kept.
+        Step 6 is fair over the long term, but what precedes it may last: thousands of urgent
+        tasks, or narrow tasks that take each CPU before a whole machine is free. The wait is
+        measured from the submission of the queue's oldest job, which is durable, so that it
+        survives a change of leader. Nothing is preempted for it, but what becomes free is
+        reserved.
         """
         wall = self.queues.clock.wall()
         oldest = {
             queue: min((j.open_at for j in jobs if j.startable), default=wall)
             for queue, jobs in ready.items()
         }
-        late = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
-        if not late:
+        starved = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
+        if not starved:
             return 0
-        placed, given = 0, ZERO
+        placed, total_granted = 0, ZERO
         most = tuple(constants.STARVE_MOST * a for a in capacity)
         fair = fair_shares(demands.values(), self.teams, capacity)
-        elders = overdue_largest_jobs(self.jobs.values(), wall, self.queues.slack_s)
+        overdue_by_queue = overdue_largest_jobs(self.jobs.values(), wall, self.queues.slack_s)
         served = []
-        for queue in sorted(late, key=oldest.__getitem__):
+        for queue in sorted(starved, key=oldest.__getitem__):
             half = round_up_to_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
             held = dominant(self.queue_usage[queue], capacity)
             if held > constants.STARVE_BELOW * dominant(half, capacity):
                 served.append(queue)
                 continue
-            given = plus(given, half)
-            if not fits(given, most):
+            total_granted = plus(total_granted, half)
+            if not fits(total_granted, most):
                 break
-            if elders[queue]:
-                placed += self._place_largest_jobs(elders[queue], half)
+            if overdue_by_queue[queue]:
+                placed += self._place_largest_jobs(overdue_by_queue[queue], half)
             left = minus(half, self.queue_usage[queue])
             placed += self._place_preferring_local(ready[queue], left, False)
             self._reserve_for_wide_job(ready[queue], minus(half, self.queue_usage[queue]))
         for queue in served:
-            # Its own room, in another order: after those who lack theirs.
-            if elders[queue]:
-                placed += self._place_largest_jobs(elders[queue], self.queue_usage[queue])
+            # These queues hold their share already; only its use changes, in favour of their
+            # largest jobs. Queues that lack their share come before them.
+            if overdue_by_queue[queue]:
+                placed += self._place_largest_jobs(overdue_by_queue[queue], self.queue_usage[queue])
         return placed
 
     def _place_largest_jobs(self, jobs: list[Job], room: Vector) -> int:
-        """The longest-waiting of a queue's largest jobs until it is done, then the next.
+        """Place a queue's largest jobs, the longest-waiting one until it is done, then the next.
 
-        Together they hold no more than a part of the queue's room, one task at least. The part
-        grows to all tasks of the first job as far as half of the room holds them: in two waves
-        it takes twice as long, and the second leaves most of the part to nobody.
+        `room` is the queue's share. Together the largest jobs hold at most `LARGEST_SHARE` of it,
+        but at least one task, or one gang. The part grows to all tasks of the first job as far as
+        `LARGEST_MOST` of the share holds them: in two waves the job would take twice as long, and
+        most of the part would be unused during the second.
         """
         waiting = [job for job in jobs if self.gates.ready(job)]
         if not waiting:
@@ -283,15 +293,15 @@
         return placed + more
 
     def _reserve_for_wide_job(self, jobs: list[Job], left: Vector) -> None:
-        """What of its part has found no machine keeps the machines that have room soonest."""
-        wide = next((j for j in jobs if j.startable and fits(j.spec.room, left)), None)
-        if wide is not None:
-            rooms = zip(left, wide.spec.room, strict=True)
+        """Reserve machines for the first job that fits what is left of its queue's share."""
+        wide_job = next((j for j in jobs if j.startable and fits(j.spec.room, left)), None)
+        if wide_job is not None:
+            rooms = zip(left, wide_job.spec.room, strict=True)
             count = min(int(a / want) for a, want in rooms if want > 0)
-            self.preemptor.reserve_for_starved(wide, count)
+            self.preemptor.reserve_for_starved(wide_job, count)
 
     def _place_preassigned(self) -> int:
-        """What a gate has a machine for, as far as the other gates let it start."""
+        """Place tasks for which a constraint chose a machine, if the other constraints allow it."""
         wanted, placed = self.gates.first(), 0
         slots = {slot.name: slot for slot in self.snapshot.slots} if wanted else {}
         for job, index, name in wanted:
@@ -320,9 +330,10 @@
         reserve: bool,
         local: bool = False,
     ) -> tuple[int, Vector | None]:
-        """Place waiting tasks in order within a budget; how many, and what is left of it.
+        """Place waiting tasks in order within a budget; return their number and the rest of it.
 
-        `local`: only where the image is.
+        `reserve`: reserve machines, or preempt, for tasks that found no machine. `local`: jobs
+        that prefer it are placed only on machines that hold their image.
         """
         placed = 0
         for job in jobs:
@@ -336,20 +347,20 @@
             ):
                 continue
             if spec.shape == "gang":
-                # All at once, wherever there is room.
+                # All tasks at once, wherever there is room.
                 count = 0 if local else self._place_gang(job, budget, reserve)
                 if budget is not None and count:
                     budget = minus(budget, tuple(a * count for a in spec.room))
             else:
-                near = local and self.queues.prefers_local_image(job)
-                count, budget = self._place_tasks(job, budget, reserve, near)
+                prefer_local = local and self.queues.prefers_local_image(job)
+                count, budget = self._place_tasks(job, budget, reserve, prefer_local)
             placed += count
         return placed, budget
 
     def _place_tasks(
-        self, job: Job, budget: Vector | None, reserve: bool, near: bool
+        self, job: Job, budget: Vector | None, reserve: bool, prefer_local: bool
     ) -> tuple[int, Vector | None]:
-        """Place a job's tasks one by one until something is short; as `_place_all`."""
+        """Place a job's tasks one by one until a resource is short, as `_place_within_budget`."""
         spec, placed = job.spec, 0
         picker: Picker | None = None
         skip = self.snapshot.unknown_tasks.get(job.name, set())
@@ -360,13 +371,13 @@
         for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
             index = job.waiting.first(skip)
             if index is None:
-                break  # all placed, or present somewhere without our doing: wait for that
+                break  # all placed, or machines report them already: wait until that is resolved
             if budget is not None and not fits(spec.room, budget):
                 break
             if self.gates.refused(job, 1, self.preemptor):
                 break
             if picker is None:
-                picker = self._picker(job, near)
+                picker = self._picker(job, prefer_local)
             slot = picker.take(opens, self.gates.sites(job, self.snapshot.zones))
             if slot is None:
                 if reserve:
@@ -378,21 +389,21 @@
                 budget = minus(budget, spec.room)
         return placed, budget
 
-    def _picker(self, job: Job, near: bool) -> Picker:
-        """The machines for a job's tasks: the same ranking for all jobs that are alike."""
+    def _picker(self, job: Job, prefer_local: bool) -> Picker:
+        """Return the ranked machines for a job's tasks, shared by jobs with equal requirements."""
         spec, shunned = job.spec, self._machines_to_avoid(job)
         if shunned or spec.oneZone or spec.spread:
-            return Picker(spec, self.snapshot.slots, shunned, near)
-        key = (spec.suits, spec.bundle, spec.pullGb, near)
+            return Picker(spec, self.snapshot.slots, shunned, prefer_local)
+        key = (spec.suits, spec.bundle, spec.pullGb, prefer_local)
         if key not in self._pickers:
-            self._pickers[key] = Picker(spec, self.snapshot.slots, (), near)
+            self._pickers[key] = Picker(spec, self.snapshot.slots, (), prefer_local)
         return self._pickers[key]
 
     def _machines_to_avoid(self, job: Job) -> Iterable[str]:
-        """Machines that it failed on a moment ago: they are taken last, not never.
+        """Return machines on which a job failed recently: they are used last, but not excluded.
 
-        Where no other one fits, none is rented beside a machine that has room: it would wait
-        there until whatever else runs on that one has ended.
+        If no other machine fits, none is rented while one of these has room, so that an excluded
+        job would wait until everything else that runs on that machine has ended.
         """
         if not 0 < len(job.failed_on) <= constants.FAULTY_MACHINES:
             return ()
@@ -400,12 +411,12 @@
         return [m.name for m in known if self.now < m.failed_at + constants.SHUN_S]
 
     def _place_gang(self, job: Job, budget: Vector | None, reserve: bool) -> int:
-        """Place all that is missing of a gang, or nothing (step 7: its grant covers all of it)."""
+        """Place all tasks of a gang or none (step 7: its grant covers all of it)."""
         spec, count = job.spec, len(job.waiting)
         if not job.startable:
             return 0  # placed by an earlier step of this round
         if job.live:
-            # Part of it is over: the rest can't go on, and all start anew together.
+            # Some of its tasks ended: the rest cannot continue, and all start again together.
             for attempt in job.live.values():
                 attempt.kill_at = attempt.kill_at or self.now
             return 0
@@ -436,13 +447,13 @@
         return count
 
     def _start_attempt(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
-        """Put a task on a slot whose room it has taken."""
+        """Create an attempt for a task on a slot; the caller has occupied the slot for it."""
         attempt = job.place(index, slot.name, number)
         attempt.decided = self.now
         attempt.guarded = self.placing_starved
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.fleet.token, job.name, slot.name, attempt.label)
-            log.debug("%s to %s", attempt.label, slot.name, extra=what)
+            log.debug("attempt placed: %s on %s", attempt.label, slot.name, extra=what)
         self.fleet.hold(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
         self.queue_usage[job.group] = plus(self.queue_usage[job.group], job.spec.room)
--- a/src/chalkgrade/sharing/term_context.py
+++ b/src/chalkgrade/sharing/term_context.py
@@ -1,4 +1,4 @@
-"""What the subsystems of one term work on."""
+"""The shared state that the subsystems of one leader term work on."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True)
 class TermContext:
-    """A leader's jobs, machines and queues; `live`: whether it may decide anything now."""
+    """A leader's jobs, machines, queues and machine types during one term.
+
+    `is_serving` returns whether the leader may make decisions now.
+    """
 
     office: Office
     book: Book
--- a/src/chalkgrade/sharing/wait_reasons.py
+++ b/src/chalkgrade/sharing/wait_reasons.py
@@ -1,7 +1,7 @@
-"""Why work stands still: a word for operators on each class that has tasks waiting.
+"""Reasons why tasks wait, counted per job class, for operators.
 
-Worked out from the book and the fleet when it is asked for, never stored: a
-reason that is remembered would outlive its cause.
+They are computed from the jobs and the fleet on request and never stored, because a stored reason
+would outlive its cause.
 """
 
 from collections import defaultdict
@@ -34,15 +34,19 @@
     flavors: dict[str, Flavor],
     queues: Queues,
     refused: Iterable[Pool],
-    live: bool,
+    is_serving: bool,
     now: float,
-    outer: Sequence[Gate] = (),
+    component_constraints: Sequence[Gate] = (),
 ) -> WaitReasonCounts:
-    """How many tasks of each class wait for which reason, the one nearest its cause first."""
-    known = list(jobs)
-    gates = Gates([JobBackoff(), *outer, TeamLimits(teams, queues)])
-    gates.begin(known, now)
-    waiting = [job for job in known if len(job.waiting) and not job.aborted and not job.aborting]
+    """Count the waiting tasks of each class by reason; of several, the root cause counts.
+
+    `refused` are the pools in which the cloud had no capacity, `is_serving` says whether the
+    leader may decide anything, and `component_constraints` are those of other subsystems.
+    """
+    all_jobs = list(jobs)
+    gates = Gates([JobBackoff(), *component_constraints, TeamLimits(teams, queues)])
+    gates.begin(all_jobs, now)
+    waiting = [job for job in all_jobs if len(job.waiting) and not job.aborted and not job.aborting]
     usable: dict[Pool, int] = defaultdict(int)
     booting: dict[Pool, int] = defaultdict(int)
     silent: dict[Pool, int] = defaultdict(int)
@@ -55,9 +59,11 @@
         elif machine.reported_at is None or now - machine.reported_at >= fleet.silent_s:
             silent[pool] += 1
     out: WaitReasonCounts = defaultdict(int)
-    shut = dict.fromkeys(refused, 1)
+    refused_pools = dict.fromkeys(refused, 1)
     for job in waiting:
-        why = _wait_reason(job, gates, flavors, live, now, (usable, booting, silent, shut))
+        why = _wait_reason(
+            job, gates, flavors, is_serving, now, (usable, booting, silent, refused_pools)
+        )
         out[job.spec.jobclass, why] += len(job.waiting)
     return dict(out)
 
@@ -66,12 +72,13 @@
     job: Job,
     gates: Gates,
     flavors: dict[str, Flavor],
-    live: bool,
+    is_serving: bool,
     now: float,
     pools: tuple[dict[Pool, int], ...],
 ) -> str:
+    """Return why a job's tasks wait; `pools` are the usable, booting, silent and refused ones."""
     spec = job.spec
-    if not live:
+    if not is_serving:
         return REASON_STATE_UNREACHABLE
     closed = gates.why(job)
     if closed:
@@ -96,16 +103,16 @@
         )
     if job.stays_until is not None and now < job.stays_until:
         return REASON_IMAGE_LOCALITY
-    # A few that still boot, or never come, are not why so many wait.
+    # A few machines that still boot, or never start, are not why many tasks wait.
     if booting > constants.BOOTING_PART * usable:
         return REASON_BOOTING
     return REASON_NO_CAPACITY if refused else REASON_NO_ROOM
 
 
-def format_wait_reasons(found: WaitReasonCounts) -> str:
-    """The log's line: classes in order, the most frequent reason first."""
+def format_wait_reasons(counts: WaitReasonCounts) -> str:
+    """Format the counts for the log: classes in order, the most frequent reason first."""
     by_class: dict[str, list[tuple[int, str]]] = defaultdict(list)
-    for (jobclass, reason), count in found.items():
+    for (jobclass, reason), count in counts.items():
         by_class[jobclass].append((-count, reason))
     return "; ".join(
         f"{jobclass}: " + ", ".join(f"{-count} {reason}" for count, reason in sorted(reasons))
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -309,7 +309,7 @@
 def test_guests_come_last_and_give_way_only_what_they_borrowed() -> None:
     room = (10.0, 0.0, 100.0)
     plain = dict(kind=QueueKind.ELASTIC, task=(1.0, 0.0, 1.0), wanted=(10.0, 0.0, 10.0))
-    plain |= dict(rate=(0.0, 0.0, 0.0), remaining=1.0, urgency=1)
+    plain |= dict(rate=(0.0, 0.0, 0.0), remaining_work=1.0, urgency=1)
     guest = QueueDemand("g/c", "g", is_best_effort=True, **plain)  # type: ignore[arg-type]
     team = QueueDemand("t/c", "t", **plain)  # type: ignore[arg-type]
     grants = dict(allocate([guest, team], room)[1])
