--- a/src/chalkgrade/sharing/constraints.py
+++ b/src/chalkgrade/sharing/constraints.py
@@ -25,9 +25,11 @@
         self._now = 0.0
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
+        """Start a round at the steady time `now` in seconds."""
         self._now = now
 
     def ready(self, job: Job) -> bool:
+        """Whether the job has tasks to start, is not aborted, and its backoff delay is over."""
         return (
             job.startable > 0
             and not job.aborted
@@ -36,9 +38,11 @@
         )
 
     def most(self, job: Job, count: int) -> int:
+        """Limit the count to the tasks that may start; of a failing job, only a few probes may."""
         return min(count, job.startable)
 
     def why(self, job: Job) -> str:
+        """Return the reason why the job may not start, or an empty string."""
         return REASON_BACKOFF if job.faulty or self._now < job.not_before else ""
 
 
@@ -57,6 +61,7 @@
         self._service_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
+        """Start a round: sum up each team's usage from the live attempts of its jobs."""
         self.usage.clear()
         self._reserved_urgency.clear()
         self._available_soon.clear()
@@ -71,6 +76,7 @@
                     )
 
     def ready(self, job: Job) -> bool:
+        """Whether the job's team is configured."""
         return job.spec.owner in self.teams
 
     def limit(self, owner: str) -> Vector:
@@ -79,10 +85,12 @@
         return (team.cpus_max or UNLIMITED, team.gpus_max or UNLIMITED, UNLIMITED)
 
     def _fits(self, job: Job, count: int) -> bool:
+        """Whether `count` more tasks of the job fit within its team's maximum."""
         need = job.spec.room if count == 1 else tuple(a * count for a in job.spec.room)
         return fits(plus(self.usage[job.spec.owner], need), self.limit(job.spec.owner))
 
     def most(self, job: Job, count: int) -> int:
+        """How many of `count` more tasks fit within the team's maximum."""
         # What the maximum leaves is reserved for more urgent work of the team.
         if job.spec.rank < self._reserved_urgency.get(job.spec.owner, job.spec.rank):
             return 0
@@ -94,6 +102,7 @@
         return max(0, min(count - 1, *fit))
 
     def took(self, job: Job, site: str) -> None:
+        """Add a placed task to its team's usage."""
         self.usage[job.spec.owner] = plus(self.usage[job.spec.owner], job.spec.room)
 
     def make_way(self, job: Job, stops: Stops) -> None:
@@ -126,6 +135,7 @@
             excess = minus(excess, spec.room)
 
     def why(self, job: Job) -> str:
+        """Return the reason if one more task would exceed the maximum, else an empty string."""
         is_known_team = job.spec.owner in self.teams
         return "" if is_known_team and self._fits(job, 1) else REASON_TEAM_LIMIT
 
@@ -138,6 +148,7 @@
         self._tasks_by_zone: dict[Job, dict[str, int]] = {}
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
+        """Start a round: discard the counts of the previous one."""
         self._tasks_by_zone.clear()
 
     def tasks_by_zone(self, job: Job) -> dict[str, int]:
@@ -151,11 +162,13 @@
         return self._tasks_by_zone[job]
 
     def sites(self, job: Job, sites: set[str]) -> set[str]:
+        """Return the zones in which the next task may start."""
         if not (job.spec.oneZone or job.spec.spread):
             return sites
         return zones_open(job.spec, self.tasks_by_zone(job), sites)
 
     def took(self, job: Job, site: str) -> None:
+        """Count a task placed in a zone in this round."""
         if job.spec.oneZone or job.spec.spread:
             self.tasks_by_zone(job)[site] += 1
 
@@ -171,6 +184,7 @@
         self.reserved_machines = 0  # number of machines with a reservation
 
     def begin(self, jobs: Iterable[Job], now: float) -> None:
+        """Start a round without reservations."""
         self.reserved_machines = 0  # the slots, which hold the reservations, are rebuilt per round
 
     def reserve_slot(self, job: Job, slot: Slot) -> None:
@@ -179,4 +193,5 @@
         slot.kept_for, slot.kept = job.name, job.spec.room
 
     def opens(self, job: Job, slot: Slot) -> bool:
+        """Whether the task fits into the room that is not reserved for another job."""
         return not slot.kept_for or fits(job.spec.room, slot.room_for(job.name))
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -24,9 +24,9 @@
         snapshot: ClusterSnapshot,
         queue_usage: dict[str, Vector],
         lowest_urgency: int,
-        gates: Gates,
+        constraints: Gates,
     ) -> None:
-        self.gates = gates
+        self.constraints = constraints
         self.queues = queues
         self.teams = teams
         self.snapshot = snapshot
@@ -60,7 +60,7 @@
                 queues.mark_changed(queue)
             wants, task, remaining = self.queue_usage[queue], ZERO, 0.0
             for job in jobs:
-                count = self.gates.able(job, job.startable)
+                count = self.constraints.able(job, job.startable)
                 wants = plus(wants, tuple(a * count for a in job.spec.room))
                 task = tuple(max(a, b) for a, b in zip(task, job.spec.room, strict=True))
                 work = (count + len(job.live)) * queues.expected_run_s(job)
@@ -74,7 +74,7 @@
             now = self.queue_usage[queue]
             for job in jobs:
                 missing = min(job.startable, max(0, self.tasks_needed_now(job) - len(job.live)))
-                missing = self.gates.able(job, missing)
+                missing = self.constraints.able(job, missing)
                 now = plus(now, tuple(a * missing for a in job.spec.room))
             demands[queue] = QueueDemand(
                 queue,
--- a/src/chalkgrade/sharing/preemption.py
+++ b/src/chalkgrade/sharing/preemption.py
@@ -58,7 +58,7 @@
         self,
         snapshot: ClusterSnapshot,
         queues: Queues,
-        gates: Gates,
+        constraints: Gates,
         team_limits: TeamLimits,
         reservations: SlotReservations,
         startable_rooms: Collection[Vector],
@@ -66,7 +66,7 @@
     ) -> None:
         self.snapshot = snapshot
         self.queues = queues
-        self.gates = gates
+        self.constraints = constraints
         self.team_limits = team_limits
         self.teams: dict[str, Team] = team_limits.teams
         self.reservations = reservations
@@ -118,7 +118,7 @@
         return constants.PREEMPT_RATIO * job.spec.vcpus * self.queues.expected_run_s(job)
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
-        """Stop attempts in favour of a job."""
+        """Have running attempts stopped for a job."""
         for attempt in attempts:
             attempt.kill_at = self.snapshot.now
             self.preempted_count += 1
@@ -142,7 +142,7 @@
         that loses least.
         """
         waits = self.reserve_soonest(job, job.startable, constants.RESERVE_PART)
-        zones = self.gates.sites(job, self.snapshot.zones)
+        zones = self.constraints.sites(job, self.snapshot.zones)
         late = max(constants.PREEMPT_WAIT_S, self.queues.slack_s(job))
         work = self.worth(job)
         for wait in waits:
@@ -163,12 +163,12 @@
             soonest = self.snapshot.suitable_slots(job.spec)
             late = soonest[0][0] + constants.DRAIN_STAY_S if soonest else 0.0
 
-            def stays(entry: tuple[float, str, Slot]) -> bool:
+            def is_recent_choice(entry: tuple[float, str, Slot]) -> bool:
                 queue, at = self.snapshot.fleet.machines[entry[1]].drains
                 recent = queue == job.group and now - at < constants.DRAIN_STAY_S
                 return recent and entry[0] <= late
 
-            return sorted(soonest, key=lambda entry: not stays(entry))
+            return sorted(soonest, key=lambda entry: not is_recent_choice(entry))
 
         for slot in self._reserve_slots(job, count, constants.STARVE_KEEP, order):
             self.snapshot.fleet.machines[slot.name].drains = (job.group, now)
@@ -196,15 +196,15 @@
         spec = job.spec
         if not any(fits(room, spec.room) and room != spec.room for room in self.startable_rooms):
             return []  # no smaller task waits that could take what becomes free for this job
-        zones = self.gates.sites(job, self.snapshot.zones)
+        zones = self.constraints.sites(job, self.snapshot.zones)
         machine_total = len(self.snapshot.slots) + len(self.snapshot.full_machines)
-        most = math.ceil(machine_total * part) - self.reservations.reserved_machines
-        most = self.gates.able(job, min(count, most))
+        max_slots = math.ceil(machine_total * part) - self.reservations.reserved_machines
+        max_slots = self.constraints.able(job, min(count, max_slots))
         out: list[Slot] = []
-        for _, _, slot in order() if most > 0 else ():
-            if len(out) >= most:
+        for _, _, slot in order() if max_slots > 0 else ():
+            if len(out) >= max_slots:
                 break
-            # The wait does not include tasks placed on the slot in this round.
+            # The wait ignores tasks placed on the slot in this round, so that it is not free soon.
             if not slot.kept_for and slot.site in zones and not slot.touched:
                 out.append(slot)
                 self.reservations.reserve_slot(job, slot)
@@ -239,7 +239,7 @@
         late_jobs: list[tuple[Job, int]] = []
         for job in jobs:
             if self.preempt and self.queues.clock.wall() - job.open_at > constants.PREEMPT_WAIT_S:
-                count = self.gates.able(job, min(job.startable, needed(job) - len(job.live)))
+                count = self.constraints.able(job, min(job.startable, needed(job) - len(job.live)))
                 if count > 0 and not self.queues.is_best_effort(job):
                     late_jobs.append((job, count))
         if not late_jobs:
@@ -248,7 +248,7 @@
         occupants = (occupant for slot in slots for occupant in slot.occupants)
         # CPUs of tasks that earlier rounds have told to stop will become free.
         cpus_being_freed = sum(occupant.room[0] for occupant in occupants if occupant.stopping)
-        most = max(1, int(constants.RETURN_PART * len(slots)))
+        machines_left = max(1, int(constants.RETURN_PART * len(slots)))
         self.victim_filter = victim_filter
         for job, count in late_jobs:
             vcpus = max(job.spec.vcpus, 1e-3)
@@ -256,13 +256,13 @@
             cpus_being_freed -= already_freed * vcpus
             count -= already_freed
             work = self.worth(job)
-            zones = self.gates.sites(job, self.snapshot.zones)
-            while count > 0 and most > 0:
+            zones = self.constraints.sites(job, self.snapshot.zones)
+            while count > 0 and machines_left > 0:
                 tasks_with_room = self._preempt_on_one_machine(job, zones, False, work)
                 if not tasks_with_room:
                     break
                 count -= tasks_with_room if victim_filter is VictimFilter.CHECKPOINTED else 1
-                most -= 1
+                machines_left -= 1
         self.victim_filter = VictimFilter.ALL
 
     def _borrowed_by_team(self) -> dict[str, Vector]:
@@ -277,15 +277,17 @@
         for slot in self.snapshot.all_slots():
             for occupant in slot.occupants:
                 if occupant.stopping and occupant.owner in out:
-                    left = minus(out[occupant.owner], occupant.room[:2])
-                    out[occupant.owner] = (max(0.0, left[0]), max(0.0, left[1]))
+                    remaining = minus(out[occupant.owner], occupant.room[:2])
+                    out[occupant.owner] = (max(0.0, remaining[0]), max(0.0, remaining[1]))
         return out
 
-    def _preempt_on_one_machine(self, job: Job, zones: set[str], own: bool, most: float) -> int:
+    def _preempt_on_one_machine(
+        self, job: Job, zones: set[str], own: bool, max_loss_cpu_s: float
+    ) -> int:
         """Preempt the tasks whose loss is least; return for how many tasks that makes room.
 
-        `own`: only tasks of the job's own team. `most`: CPU-seconds of work that may be lost for
-        one task.
+        `own`: only tasks of the job's own team. `max_loss_cpu_s`: CPU-seconds of work that may be
+        lost for one task.
         """
         spec, victim_filter = job.spec, self.victim_filter
         if not self.preempt or self.queues.slack_s(job) < 0:
@@ -295,8 +297,10 @@
             slots = [slot for _, _, slot in self.snapshot.suitable_slots(spec)]
             excess = self._borrowed_by_team() if self.within_guarantee else None
             if victim_filter is VictimFilter.BEST_EFFORT and excess is not None:
-                guests = {name for name, team in self.teams.items() if not (team.cpus or team.gpus)}
-                excess = {name: over for name, over in excess.items() if name in guests}
+                without_guarantee = {
+                    name for name, team in self.teams.items() if not (team.cpus or team.gpus)
+                }
+                excess = {name: over for name, over in excess.items() if name in without_guarantee}
             self._offers[key] = Offers(
                 spec,
                 slots,
@@ -309,15 +313,15 @@
         def is_open(slot: Slot) -> bool:
             return slot.kept_for in ("", job.name) and slot.site in zones and not slot.touched
 
-        taken = self._offers[key].take(is_open, most)
+        taken = self._offers[key].take(is_open, max_loss_cpu_s)
         if taken is None:
             return 0
-        slot, found = taken
+        slot, victims = taken
         self.reservations.reserve_slot(job, slot)
         machine = self.snapshot.fleet.machines[slot.name]
-        for victim in found:
+        for victim in victims:
             victim.stopping = True
             victim.left_s = 0.0
         self._completions = None
-        self.stop([machine.attempts[victim.task, victim.number] for victim in found], job)
-        return tasks_in(spec, slot, found)
+        self.stop([machine.attempts[victim.task, victim.number] for victim in victims], job)
+        return tasks_in(spec, slot, victims)
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -45,8 +45,8 @@
 class SchedulingRound:
     """Places the waiting tasks that can be placed now.
 
-    `gates` are the start constraints of other subsystems, and `preempt` says whether the round may
-    stop running tasks.
+    `constraints` are the start constraints of other subsystems, and `preempt` says whether the
+    round may stop running tasks.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         queues: Queues,
         clock: Clock,
         preempt: bool = True,
-        gates: Sequence[Gate] = (),
+        constraints: Sequence[Gate] = (),
     ) -> None:
         self.jobs = jobs
         self.fleet = fleet
@@ -74,8 +74,8 @@
         )
         # Constraints of other subsystems, such as licence seats, precede the team limits, so that
         # nothing is preempted for work that would then lack a seat.
-        self.gates = Gates(
-            [JobBackoff(), *gates, self.team_limits, self.zone_constraints, self.reservations]
+        self.constraints = Gates(
+            [JobBackoff(), *constraints, self.team_limits, self.zone_constraints, self.reservations]
         )
         self.queue_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
         self.waits_for_images = True  # jobs may wait for machines that hold their image
@@ -86,25 +86,27 @@
     def run(self) -> int:
         """Place what can be placed; return the number of new attempts."""
         ready: dict[str, list[Job]] = defaultdict(list)
-        self.gates.begin(self.jobs.values(), self.now)
+        self.constraints.begin(self.jobs.values(), self.now)
         for job in self.jobs.values():
             if job.live:
-                taken = tuple(a * len(job.live) for a in job.spec.room)
-                self.queue_usage[job.group] = plus(self.queue_usage[job.group], taken)
-            if self.gates.ready(job):
+                job_usage = tuple(a * len(job.live) for a in job.spec.room)
+                self.queue_usage[job.group] = plus(self.queue_usage[job.group], job_usage)
+            if self.constraints.ready(job):
                 ready[job.group].append(job)
         if not ready:
             return 0
         self.lowest_urgency = min(job.spec.rank for jobs in ready.values() for job in jobs)
         rooms = {job.spec.room for jobs in ready.values() for job in jobs}
-        least_cpus = min(room[0] for room in rooms)
-        self.snapshot = ClusterSnapshot(self.fleet, self.flavors, self.queues, least_cpus, self.now)
+        min_task_cpus = min(room[0] for room in rooms)
+        self.snapshot = ClusterSnapshot(
+            self.fleet, self.flavors, self.queues, min_task_cpus, self.now
+        )
         if not self.snapshot.slots and not self.snapshot.full_machines:
             return 0
         self.preemptor = Preemptor(
             self.snapshot,
             self.queues,
-            self.gates,
+            self.constraints,
             self.team_limits,
             self.reservations,
             rooms,
@@ -123,7 +125,7 @@
             self.snapshot,
             self.queue_usage,
             self.lowest_urgency,
-            self.gates,
+            self.constraints,
         )
         placed = self._place_preassigned()
         for jobs in ready.values():
@@ -133,8 +135,10 @@
         self.placing_starved = True
         placed += self._place_starved(ready, demands, capacity)
         self.placing_starved = False
-        first, rest = allocate(list(demands.values()), capacity)
-        for _, group in itertools.groupby(first, key=lambda entry: demands[entry[0]].urgency):
+        needed_grants, other_grants = allocate(list(demands.values()), capacity)
+        for _, group in itertools.groupby(
+            needed_grants, key=lambda entry: demands[entry[0]].urgency
+        ):
             # What completion bounds need, shortest remaining first: in an overload, serving parts
             # of all bursts would complete none in time. Machines with the image come first.
             same_urgency = list(group)
@@ -142,12 +146,12 @@
                 for queue, grant in same_urgency:
                     budget = minus(grant, self.queue_usage[queue])
                     placed += self._place_within_budget(ready[queue], budget, not local, local)[0]
-        first_jobs = [job for queue, _ in first for job in ready[queue]]
+        needed_jobs = [job for queue, _ in needed_grants for job in ready[queue]]
         self.preemptor.preempt_checkpointed(
-            sorted(first_jobs, key=self.queues.scheduling_key),
+            sorted(needed_jobs, key=self.queues.scheduling_key),
             self.demand_calculator.tasks_needed_now,
         )
-        for queue, grant in rest:
+        for queue, grant in other_grants:
             budget = minus(grant, self.queue_usage[queue])
             placed += self._place_preferring_local(ready[queue], budget, reserve=True)
         order = spare_capacity_order(
@@ -273,7 +277,7 @@
         `LARGEST_MOST` of the share holds them: in two waves the job would take twice as long, and
         most of the part would be unused during the second.
         """
-        waiting = [job for job in jobs if self.gates.ready(job)]
+        waiting = [job for job in jobs if self.constraints.ready(job)]
         if not waiting:
             return 0
         first, spec = waiting[0], waiting[0].spec
@@ -302,7 +306,7 @@
 
     def _place_preassigned(self) -> int:
         """Place tasks for which a constraint chose a machine, if the other constraints allow it."""
-        wanted, placed = self.gates.first(), 0
+        wanted, placed = self.constraints.first(), 0
         slots = {slot.name: slot for slot in self.snapshot.slots} if wanted else {}
         for job, index, name in wanted:
             slot = slots.get(name)
@@ -310,11 +314,11 @@
                 slot is not None
                 and index in job.waiting
                 and index not in self.snapshot.unknown_tasks.get(job.name, ())
-                and self.gates.ready(job)
-                and self.gates.most(job, 1) > 0
-                and slot.site in self.gates.sites(job, self.snapshot.zones)
+                and self.constraints.ready(job)
+                and self.constraints.most(job, 1) > 0
+                and slot.site in self.constraints.sites(job, self.snapshot.zones)
                 and fits(job.spec.room, slot.free)
-                and self.gates.opens(job, slot)
+                and self.constraints.opens(job, slot)
             ):
                 occupy(slot, job.spec)
                 self._start_attempt(job, index, slot)
@@ -366,7 +370,7 @@
         skip = self.snapshot.unknown_tasks.get(job.name, set())
 
         def opens(slot: Slot) -> bool:
-            return self.gates.opens(job, slot)
+            return self.constraints.opens(job, slot)
 
         for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
             index = job.waiting.first(skip)
@@ -374,11 +378,11 @@
                 break  # all placed, or machines report them already: wait until that is resolved
             if budget is not None and not fits(spec.room, budget):
                 break
-            if self.gates.refused(job, 1, self.preemptor):
+            if self.constraints.refused(job, 1, self.preemptor):
                 break
             if picker is None:
                 picker = self._picker(job, prefer_local)
-            slot = picker.take(opens, self.gates.sites(job, self.snapshot.zones))
+            slot = picker.take(opens, self.constraints.sites(job, self.snapshot.zones))
             if slot is None:
                 if reserve:
                     self.preemptor.reserve_or_preempt(job)
@@ -425,16 +429,16 @@
             return 0
         if budget is not None and not fits(need, budget):
             return 0
-        if self.gates.refused(job, count, self.preemptor):
+        if self.constraints.refused(job, count, self.preemptor):
             return 0
-        sites = self.gates.sites(job, self.snapshot.zones)
+        sites = self.constraints.sites(job, self.snapshot.zones)
         found = choose_all(
             spec,
             count,
             [slot for slot in self.snapshot.slots if slot.site in sites],
             self.zone_constraints.tasks_by_zone(job),
             self._machines_to_avoid(job),
-            lambda slot: self.gates.opens(job, slot),
+            lambda slot: self.constraints.opens(job, slot),
         )
         if found is None:
             if reserve:
@@ -457,4 +461,4 @@
         self.fleet.hold(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
         self.queue_usage[job.group] = plus(self.queue_usage[job.group], job.spec.room)
-        self.gates.took(job, slot.site)
+        self.constraints.took(job, slot.site)
--- a/src/chalkgrade/sharing/wait_reasons.py
+++ b/src/chalkgrade/sharing/wait_reasons.py
@@ -44,8 +44,8 @@
     leader may decide anything, and `component_constraints` are those of other subsystems.
     """
     all_jobs = list(jobs)
-    gates = Gates([JobBackoff(), *component_constraints, TeamLimits(teams, queues)])
-    gates.begin(all_jobs, now)
+    constraints = Gates([JobBackoff(), *component_constraints, TeamLimits(teams, queues)])
+    constraints.begin(all_jobs, now)
     waiting = [job for job in all_jobs if len(job.waiting) and not job.aborted and not job.aborting]
     usable: dict[Pool, int] = defaultdict(int)
     booting: dict[Pool, int] = defaultdict(int)
@@ -62,7 +62,7 @@
     refused_pools = dict.fromkeys(refused, 1)
     for job in waiting:
         why = _wait_reason(
-            job, gates, flavors, is_serving, now, (usable, booting, silent, refused_pools)
+            job, constraints, flavors, is_serving, now, (usable, booting, silent, refused_pools)
         )
         out[job.spec.jobclass, why] += len(job.waiting)
     return dict(out)
@@ -70,7 +70,7 @@
 
 def _wait_reason(
     job: Job,
-    gates: Gates,
+    constraints: Gates,
     flavors: dict[str, Flavor],
     is_serving: bool,
     now: float,
@@ -80,7 +80,7 @@
     spec = job.spec
     if not is_serving:
         return REASON_STATE_UNREACHABLE
-    closed = gates.why(job)
+    closed = constraints.why(job)
     if closed:
         return closed
 
