--- a/tests/days/bench.py
+++ b/tests/days/bench.py
@@ -1,9 +1,9 @@
-"""Days of our own for the users' bench: each class of a site floods in turn, machines fail.
+"""Generates overload days for the users' bench: one for each class of a site, with failures.
 
     python3 tests/days/bench.py SITE.toml --out DIR [--factor 8]
 
 Writes DIR/CLASS.toml for each class of the site file, to be played by the bench's
-`run SITE DIR/CLASS.toml`. Nothing of a site is kept here: names come from the file given.
+`run SITE DIR/CLASS.toml`. All names come from the site file.
 """
 
 import argparse
@@ -28,23 +28,24 @@
 
 
 def main() -> None:
+    """Write the day files and print their paths."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("site", type=Path)
     parser.add_argument("--out", type=Path, required=True)
     parser.add_argument("--factor", type=float, default=8.0)
-    asked = parser.parse_args()
-    site = tomllib.loads(asked.site.read_text())
+    args = parser.parse_args()
+    site = tomllib.loads(args.site.read_text())
     machines = sum(row.get("count", 0) + row.get("spot", 0) for row in site["capacity"])
-    asked.out.mkdir(parents=True, exist_ok=True)
+    args.out.mkdir(parents=True, exist_ok=True)
     for number, job in enumerate(site["jobs"]):
         day = DAY.format(
             name=job["name"],
             seed=700 + number,
-            factor=asked.factor,
+            factor=args.factor,
             nodes=site["nodes"]["count"],
             machines=max(1, machines // 10),
         )
-        target = asked.out / f"{job['name']}.toml"
+        target = args.out / f"{job['name']}.toml"
         target.write_text(day)
         print(target)
 
--- a/tests/days/decisions.py
+++ b/tests/days/decisions.py
@@ -1,9 +1,9 @@
-"""All that one drawn day's controllers decided, as one line: how many log lines, and their digest.
+"""Digests the decisions of one randomly drawn day: prints the number of log lines and a hash.
 
     PYTHONHASHSEED=1 python3 tests/days/decisions.py SEED [--lines FILE]
 
-Two runs that print the same line decided the same at the same times. With `--lines` the lines are
-kept, to find the first in which two runs differ.
+Two runs that print the same line made the same decisions at the same times. `--lines` writes the
+log lines to a file, to find the first one in which two runs differ.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 
 
 class Digest(logging.Handler):
-    """Counts and digests what is logged, each line with its virtual time."""
+    """A log handler that counts and hashes the log lines, each with its virtual time."""
 
     def __init__(self, lines: Path | None) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
         self._file = lines.open("w") if lines is not None else None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One decision."""
+        """Add one line to the digest, and to the file if there is one."""
         now = asyncio.get_event_loop().time()
         line = f"{now:.6f} {record.name} {record.getMessage()}\n"
         self.count += 1
@@ -39,16 +39,16 @@
 
 
 def main() -> None:
-    """Play the day of `experiment meetings` with that seed."""
+    """Play the day of `experiment meetings` with the given seed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("seed", type=int)
     parser.add_argument("--lines", type=Path)
-    asked = parser.parse_args()
-    handler = Digest(asked.lines)
+    args = parser.parse_args()
+    handler = Digest(args.lines)
     logger = logging.getLogger("chalkgrade")
     logger.handlers, logger.propagate = [handler], False
     logger.setLevel(logging.DEBUG)
-    figures = meetings.play(asked.seed)
+    figures = meetings.play(args.seed)
     print(handler.count, handler.digest.hexdigest(), figures["jobs"], figures["broken"])
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -21,7 +21,7 @@
 from chalkgrade.region.world import World, tell
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
 from test_gap import _long
-from test_limits import Limited, _change, _hand, _work
+from test_limits import Limited, _change_leader, _hand_over, _work
 from test_membership import _leader, _until
 
 Patch = pytest.MonkeyPatch
@@ -125,7 +125,7 @@
         at = rng.uniform(0.0, 0.06)  # the commit of it may or may not come before the key's
         world.loop.call_later(at, lambda n=name, w=whom: world.spawn(seen.ask(n, w, "early")))
     await asyncio.sleep(0.05)
-    await _change(world, how)
+    await _change_leader(world, how)
     await asyncio.sleep(world.CANCEL_S + 8.0)
     if world.failure is not None:
         raise world.failure
@@ -241,7 +241,7 @@
                 await _until(world, 30.0, lambda: _leader(world))
                 node = _leader(world)
                 assert node is not None
-                given.append(await _hand(world, node))
+                given.append(await _hand_over(world, node))
                 await asyncio.sleep(2.0)
 
         tell(story, 5, loss=0.0, kind=Moved)
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -1,4 +1,4 @@
-"""A grown region: five controllers, many machines, few changes a second, long reports."""
+"""A large region: five controllers, many machines, few writes per second, long report intervals."""
 
 import asyncio
 from typing import Any
@@ -16,8 +16,8 @@
 from chalkgrade.state.ledger import Ledger
 
 
-class Grown(World):
-    """Twenty changes a second for all, whatever the number of machines and tasks."""
+class LargeRegion(World):
+    """A region whose state service allows 20 writes per second, however many machines it has."""
 
     MEMBERS = ("n-0", "n-1", "n-2", "n-3", "n-4")
     REPORT_S = 5.0
@@ -37,8 +37,11 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_grown_day_keeps_rules_and_budgets(seed: int) -> None:
-    """The store refuses whatever all nodes together send beyond its limits."""
-    world = play(seed, seconds=60.0, jobs=30, kind=Grown)
+    """All nodes together stay within the request limits of the state service.
+
+    The simulated store refuses each call beyond them.
+    """
+    world = play(seed, seconds=60.0, jobs=30, kind=LargeRegion)
     assert all(job["over"] for job in world.jobs.values())
     assert world.cloud.number > 60
     assert world.started > 1000
@@ -46,6 +49,7 @@
 
 
 def test_parts_of_the_budgets_sum_to_the_limit_and_a_new_leader_waits_for_its_part() -> None:
+    """Guards against exceeding the limit when a node takes over the leader's larger part."""
     loop = VirtualLoop()
     limits = StateLimits(rps=120.0, write_rps=20.0)
 
@@ -70,20 +74,21 @@
 
 
 def test_a_queues_need_counts_what_its_other_jobs_hold() -> None:
-    """Found on a grown day: jobs without a waiting task used up what the others were granted.
+    """Guards against jobs without waiting tasks using up what is granted for the others.
 
-    A queue that held more than its late jobs' need started none of their tasks.
+    If their resources are not part of the queue's need, a queue that holds more than its late jobs
+    need starts none of their tasks.
     """
 
     async def story(world: World) -> None:
         leader = next(n for n in world.nodes.values() if n is not None and n.term is not None)
         term = leader.term
         assert term is not None
-        plain = {"owner": "red", "jobclass": "late", "shape": "batch", "urgency": "high"}
-        plain |= {"vcpus": 1.0, "memoryGb": 2.0, "oneZone": False, "spread": False}
-        plain |= {"hosttypes": None, "site": None, "standby": True, "expectedS": 20.0}
+        base_spec = {"owner": "red", "jobclass": "late", "shape": "batch", "urgency": "high"}
+        base_spec |= {"vcpus": 1.0, "memoryGb": 2.0, "oneZone": False, "spread": False}
+        base_spec |= {"hosttypes": None, "site": None, "standby": True, "expectedS": 20.0}
         for number, tasks in ((1, 12), (2, 30)):
-            spec = world.spec(number, **(plain | {"tasks": tasks, "dueS": 60.0}))
+            spec = world.spec(number, **(base_spec | {"tasks": tasks, "dueS": 60.0}))
             world.jobs[spec["nameId"]] = {"spec": spec, "aborted": None, "over": None}
             status, _ = await leader.handle("POST", "/v2/runs", msgspec.json.encode(spec))
             assert status == 201
@@ -91,14 +96,18 @@
         while not (second.live and len(second.waiting)):
             assert world.now < 1040.0
             await asyncio.sleep(0.2)
-        floor = ClusterSnapshot(term.fleet, leader.flavors, term.queues, 1.0, term.clock.now())
+        snapshot = ClusterSnapshot(term.fleet, leader.flavors, term.queues, 1.0, term.clock.now())
         held = (len(first.live) + len(second.live)) * 1.0
-        taken = {second.queue: (held, 0.0, 2 * held)}
+        queue_usage = {second.queue: (held, 0.0, 2 * held)}
         teams = term.scheduling.teams
-        demands = DemandCalculator(term.queues, teams, floor, taken, second.spec.rank, Gates([]))
+        demands = DemandCalculator(
+            term.queues, teams, snapshot, queue_usage, second.spec.rank, Gates([])
+        )
         demand = demands.by_queue({second.queue: [second]})[second.queue]
-        lack = min(len(second.waiting), max(0, demands.tasks_needed_now(second) - len(second.live)))
-        assert demand.needed_now[0] == held + lack
-        assert demand.rate[0] >= held + lack
+        missing = min(
+            len(second.waiting), max(0, demands.tasks_needed_now(second) - len(second.live))
+        )
+        assert demand.needed_now[0] == held + missing
+        assert demand.rate[0] >= held + missing
 
     tell(story, 3)
--- a/tests/test_halves.py
+++ b/tests/test_halves.py
@@ -1,7 +1,7 @@
-"""Half of every class and team: days on which one of them is asked for far more than usual.
+"""Under overload by one class or team, every class and team still gets half of its work done.
 
-Controllers and machines fail on each of them, see days/fleet.toml. Where a day asks for
-more than the fleet can do, half of what could be done is asked for: `History.could`.
+Controllers and machines fail on each simulated day, see days/fleet.toml. Where a day submits more
+than the fleet can do, half of what could be done is required: `History.could`.
 """
 
 import copy
@@ -28,8 +28,8 @@
     return found
 
 
-def _fleets(work: Work, times: float) -> Work:
-    """As much of it as so many times the fleet can do."""
+def _scale_to_fleet(work: Work, times: float) -> Work:
+    """Set the rate of the work to so many times the capacity of the fleet."""
     job = sum(work.tasks) / 2 * work.vcpus * 1.25 * sum(work.run_s) / 2
     work.a_minute, work.at_start = times * CPUS * 60 / job, 0
     return work
@@ -45,46 +45,51 @@
 
 
 def _sixfold(team: str, like: str) -> Callable[[Day], None]:
-    """The team asks for six times the fleet in work of its own."""
+    """One team submits six times the capacity of the fleet in a class of its own."""
 
     def change(day: Day) -> None:
         flood = _work(like, "flood", teams=[team], tasks=(20, 40), run_s=(10.0, 20.0))
         flood.vcpus, flood.memory_gb = 2.0, 4.0
-        day.classes.append(_fleets(flood, 6.0))
+        day.classes.append(_scale_to_fleet(flood, 6.0))
 
     change.__name__ = f"sixfold_{team}"
     return change
 
 
 def _sixfold_without_a_maximum(day: Day) -> None:
-    """The flood may use all machines, so that nothing but the guard leaves others any room.
+    """The overloading team has no maximum, so that only the starvation guard protects others.
 
-    Under a maximum of 150 of 192 CPUs others have the rest: what a team at its maximum lacked
-    was not rented once, and then the rest was not there either.
+    With a maximum of 150 of 192 CPUs, other teams have the rest, unless the renting of machines
+    ignores what a team at its maximum lacks; then the machines for that rest are missing.
     """
     _sixfold("desk", "quote")(day)
     next(team for team in day.teams if team.name == "desk").cpus_max = 0.0
 
 
 def _sixfold_in_whole_machines(day: Day) -> None:
-    """Urgent tasks that fill a machine each: six times the fleet, jobs of four sizes."""
+    """Six times the capacity of the fleet in urgent tasks that fill a machine each.
+
+    The jobs have 4 to 16 tasks.
+    """
     flood = _work("quote", "flood", teams=["desk"], tasks=(4, 16), run_s=(15.0, 40.0))
     flood.vcpus, flood.memory_gb = 4.0, 8.0
-    day.classes.append(_fleets(flood, 6.0))
+    day.classes.append(_scale_to_fleet(flood, 6.0))
 
 
 def _wide_beside_narrow_urgent(day: Day) -> None:
+    """Three times the capacity of the fleet in narrow urgent tasks, next to wide ones."""
     narrow = _work("quote", "narrow", teams=["desk", "nightly"], tasks=(40, 60), due_s=None)
     narrow.run_s = (8.0, 16.0)
-    day.classes.append(_fleets(narrow, 3.0))
+    day.classes.append(_scale_to_fleet(narrow, 3.0))
 
 
 def _one_class_fails(day: Day) -> None:
-    """Each of its tasks fails wherever it starts, until its users abort it."""
+    """Each task of one class fails wherever it starts, until its users abort the job."""
     day.classes.append(_work("rebuild", "doomed", a_minute=30.0, stop_after_s=40.0))
 
 
 def _a_zone_that_one_class_needs(day: Day) -> None:
+    """The only zone that one class may use fails."""
     day.classes[0].zone = "west"
     day.faults.append(Fault(25.0, "zone", 20.0, zone="west"))
 
@@ -95,9 +100,9 @@
 DAYS += [_wide_beside_narrow_urgent, _one_class_fails, _a_zone_that_one_class_needs]
 
 
-# On (desk, 7 and 17) and (whole machines, 1) a flood's own largest jobs, or whole machines for
-# another team, got less than half before the floor saw them. What fails on other seeds stands
-# in docs/measurements.md.
+# Days on which, without the part for the largest jobs (`LARGEST_WAIT_S`), the overloading class's
+# own largest jobs or another team's wide tasks get less than half: (desk, 7 and 17) and (whole
+# machines, 1). Failures on other seeds are listed in docs/measurements.md.
 LARGEST = [(_sixfold("desk", "quote"), seed) for seed in (7, 17)]
 LARGEST += [(_sixfold_in_whole_machines, seed) for seed in (1, 2, 3)]
 
@@ -111,6 +116,7 @@
 
 
 def test_the_day_asks_for_no_more_than_can_be_done() -> None:
+    """Without overload, everything is served, so that the days below fail by their change only."""
     world = _play(lambda day: None)
     assert set(world.could("jobclass").values()) == set(world.could("owner").values()) == {1.0}
     assert not world.unserved() and all(job["over"] for job in world.jobs.values())
@@ -119,23 +125,33 @@
 def test_without_the_floor_a_flood_starves_wide_tasks_of_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The class `wide` had nothing done in minutes, while others' tasks came and went."""
+    """Without the starvation guard, nothing of the class `wide` is done for minutes.
+
+    The small tasks of other classes take each CPU that becomes free.
+    """
     monkeypatch.setattr(constants, "STARVE_S", 1e9)
     assert any("wide" in missing for missing in _play(_sixfold_without_a_maximum).unserved())
 
 
 @pytest.mark.parametrize("change", DAYS)
 def test_half_of_every_class_and_team_is_served(change: Callable[[Day], None]) -> None:
+    """Guards against starvation of a class or team by the overload of another."""
     assert not _play(change).unserved()
 
 
 @pytest.mark.parametrize(("change", "seed"), LARGEST)
 def test_half_of_the_largest_jobs_is_served(change: Callable[[Day], None], seed: int) -> None:
-    """Shortest first leaves them for last, and a flood has no last."""
+    """Guards against starvation of the largest jobs by shortest remaining time first.
+
+    That order puts them last, and under lasting overload the last is never reached.
+    """
     assert not _play(change, seed).unserved()
 
 
 def test_without_their_part_a_floods_largest_jobs_starve(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without it less than half of a flood's largest jobs is done: its small ones come first."""
+    """Without a part for them, less than half of the largest jobs is done.
+
+    The small jobs of the overloading class come first.
+    """
     monkeypatch.setattr(constants, "LARGEST_WAIT_S", 1e9)
     assert "flood" in "".join(_play(_sixfold_in_whole_machines, 1).unserved())
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -1,6 +1,7 @@
-"""What may hold a job back beside room that fits it, and for how long: never for 90 s.
+"""No rule may hold a job back for 90 s while machines have room for it.
 
-The region's checker of idle room judges; each story ends long after that time.
+The `idle_room` rule of the simulated region checks this; each scenario lasts far longer. With
+`bug`, the guard under test is removed, and the rule must find the failure.
 """
 
 import asyncio
@@ -21,7 +22,8 @@
 Story = Callable[[World], Awaitable[None]]
 
 
-async def _goes_on(world: World, seconds: float) -> None:
+async def _run_for(world: World, seconds: float) -> None:
+    """Let the simulation run on for the given time, and raise the failure of any rule."""
     end = world.now + seconds
     while world.now < end:
         await asyncio.sleep(0.5)
@@ -41,7 +43,10 @@
 def test_a_sound_job_that_sick_machines_failed_is_not_probed_for_a_whole_run(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """All its tasks fail at once on several machines; then one probe ran for 200 s alone."""
+    """Guards against a sound job being limited to one probe for the probe's whole run.
+
+    All tasks of the job fail at once on several faulty machines. Its run time is 200 s.
+    """
     if bug:
         monkeypatch.setattr(constants, "PROVEN_RUN_S", 1e9)
 
@@ -57,19 +62,19 @@
         assert node is not None and node.term is not None
         job = node.term.jobs["run-000001"]
         assert job.faulty and len(job.failed_on) > 2 and len(job.live) <= 1
-        await _goes_on(world, 200.0)
+        await _run_for(world, 200.0)
         assert world.idle.most < constants.SHUN_S + 15.0
         assert len(world.present()) > 8
 
     _check(story, bug, 1)
 
 
-def _kept_for_ever(patch: Patch) -> None:
-    """What was done before: kept, whenever that may be."""
-    plain = TeamLimits.make_way
+def _reserve_unconditionally(patch: Patch) -> None:
+    """Reserve what a maximum leaves for urgent work, even if too little becomes free soon."""
+    original = TeamLimits.make_way
 
     def make_way(self: TeamLimits, job: Job, stops: Stops) -> None:
-        plain(self, job, stops)
+        original(self, job, stops)
         owner, rank = job.spec.owner, job.spec.rank
         self._reserved_urgency[owner] = max(rank, self._reserved_urgency.get(owner, rank))
 
@@ -80,9 +85,13 @@
 def test_what_a_maximum_leaves_beside_a_service_is_for_whom_it_fits(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """A service takes 17 of a team's 20 CPUs; an urgent task that needs 4 waits for it to end."""
+    """Guards against reserving what a maximum leaves for a task that it can't fit.
+
+    A service holds 17 of a team's 20 CPUs. An urgent task that needs 4 waits until the service
+    ends; small tasks must use the remaining 3 meanwhile.
+    """
     if bug:
-        _kept_for_ever(monkeypatch)
+        _reserve_unconditionally(monkeypatch)
 
     async def story(world: World) -> None:
         red = {"owner": "red", "urgency": "high"}
@@ -93,8 +102,8 @@
         await asyncio.sleep(2.0)
         small = _long(3, 3) | red | {"urgency": "standard", "expectedS": 20.0}
         world.spawn(world.user(small, None))
-        await _goes_on(world, 160.0)
-        assert not world.of_job("run-000002")  # it came about: what is urgent does wait
+        await _run_for(world, 160.0)
+        assert not world.of_job("run-000002")  # the urgent job does wait in this scenario
         assert world.jobs[small["nameId"]]["over"] == "done"
 
     _check(story, bug, 1)
@@ -104,7 +113,10 @@
 def test_small_tasks_do_not_take_what_frees_up_for_urgent_wide_ones(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """The rule that keeps it holds on where enough ends before long."""
+    """What becomes free is reserved for urgent wide tasks if enough becomes free soon.
+
+    Otherwise the team's small tasks take each CPU, and four are never free at once.
+    """
     if bug:
         monkeypatch.setattr(constants, "KEPT_S", -1.0)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,7 +1,7 @@
-"""What counts against a team's limit while machines can't be asked, and cancellations then.
+"""Team limits and cancellations while machines are unreachable and leaders change.
 
-Judged by where tasks are (workers), what users are told, and when the state service wrote the
-leader key; the program is never asked.
+Results are judged by where tasks run (the workers), by the responses to users, and by when the
+state service wrote the leader key, never by the state of the program under test.
 """
 
 import asyncio
@@ -24,17 +24,17 @@
 from test_membership import _leader, _until
 
 Patch = pytest.MonkeyPatch
-LIMIT = 8.0  # CPUs; every team's
-AWAY_S = 45.0  # s; how long machines can't be asked: longer than `cancel_s`, and than three changes
+LIMIT = 8.0  # CPUs; the maximum of each limited team
+UNREACHABLE_S = 45.0  # longer than `cancel_s` and than three changes of leader
 
 
 class Limited(World):
-    """Every team has a limit, and the machines have room for more."""
+    """A region in which two of three teams have a limit, and the machines have room for more."""
 
     TEAMS = (
         {"name": "red", "cpus": 4, "cpus_max": LIMIT},
         {"name": "blue", "cpus": 0, "cpus_max": LIMIT},
-        {"name": "green", "cpus": 0, "cpus_max": 0},  # the only one without
+        {"name": "green", "cpus": 0, "cpus_max": 0},  # the only team without a limit
     )
     ROOMS = {("small", site, True): 24 for site in ("a", "b")}
 
@@ -42,34 +42,38 @@
         super().__init__(*args)
         self.store.written[LEADER_KEY] = []
         for site in self.ZONES:
-            self.cloud.there(("small", site, True), 8)  # what is measured is no boot
+            self.cloud.there(("small", site, True), 8)  # so that no boot time is measured
 
 
 def _work(number: int, owner: str, **changes: Any) -> dict[str, Any]:
     return _long(number, 4) | {"owner": owner, "expectedS": 900.0} | changes
 
 
-class Spell:
-    """One time of trouble, as it was seen from outside."""
+class Scenario:
+    """One period of unreachable machines, with what was observed from outside the program."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.names: dict[str, str] = {}  # team -> the job that is cancelled
-        self.chosen: list[str] = []  # machines that can't be asked
-        self.begun = 0.0
-        self.there = 0  # tasks of cancelled jobs on these machines, when users were told
-        self.gone_at: dict[str, float] = {}  # team -> when the last cancelled task was gone
-        self.used_at: dict[str, float] = {}  # team -> when its limit was used in full again
-        self.told_at = 0.0
-        self.heard_of: list[str] = []  # of these machines, who has obeyed the last leader
+        self.unreachable: list[str] = []  # unreachable machines
+        self.disturbed_at = 0.0
+        # Tasks of cancelled jobs on these machines when users got the confirmation.
+        self.cancelled_present = 0
+        self.cancelled_gone_at: dict[str, float] = {}  # team -> when its last cancelled task ended
+        self.limit_used_at: dict[str, float] = {}  # team -> when its limit was used in full again
+        self.told_at = 0.0  # when users got the confirmations
+        self.obeyed_machines: list[str] = []  # unreachable machines that obeyed the last leader
 
     def at_limit(self, owner: str) -> bool:
         return self.world._used.get(owner, 0.0) > LIMIT - 0.5
 
     async def fill(self, **changes: Any) -> None:
-        """Every team at its limit: a job that will be cancelled, one that goes on, one behind."""
+        """Bring each limited team to its limit.
+
+        Each has a job that will be cancelled, one that continues, and one that waits.
+        """
         world = self.world
-        world.spawn(self._others())
+        world.spawn(self._submit_small_jobs())
         number = 0
         for owner in ("red", "blue"):
             for tasks in (4, 4, 12):
@@ -80,11 +84,11 @@
                 if tasks == 4:
                     await _until(world, 120.0, lambda s=spec: len(world.of_job(s["nameId"])) == 4)
         assert all(self.at_limit(owner) for owner in self.names)
-        await asyncio.sleep(4.0)  # the others have asked for room by then, and got none
+        await asyncio.sleep(4.0)  # the waiting jobs have been refused by then
         assert all(world._used[owner] <= LIMIT for owner in self.names)
 
-    async def _others(self) -> None:
-        """Small jobs of a team without a limit: they keep machines there that have room."""
+    async def _submit_small_jobs(self) -> None:
+        """Submit small jobs of a team without a limit, so that machines with room stay rented."""
         number = 100
         while True:
             for _ in range(8):
@@ -93,37 +97,37 @@
                 self.world.spawn(self.world.user(spec, None))
             await asyncio.sleep(6.0)
 
-    def trouble(self, kind: str, seconds: float) -> None:
-        """The machines of the jobs that will be cancelled can't be asked any more."""
+    def disturb(self, kind: str, seconds: float) -> None:
+        """Make the machines of the jobs that will be cancelled unreachable in the given way."""
         world = self.world
-        self.chosen = sorted(
+        self.unreachable = sorted(
             {worker.name for name in self.names.values() for worker, _ in world.of_job(name)}
         )
-        self.begun = world.now
-        away = set(self.chosen)
+        self.disturbed_at = world.now
+        away = set(self.unreachable)
         if kind == "deaf":
             world.deafen(away, seconds)
         elif kind == "hang":
             for name in away:
                 world.loop.freeze(name, world.now + seconds)
-        elif kind == "mute":  # nothing that they say arrives, what is said to them does
+        elif kind == "mute":  # messages from these machines are lost, messages to them arrive
             world.mute(away, seconds)
         else:
             world.cut(away, {*world.members, "users"}, seconds, kind == "held")
 
     async def cancel(self) -> None:
-        """Users cancel at all controllers at once, until each is told."""
+        """Cancel the jobs at all controllers at once, until each job's user is told."""
         world = self.world
         await asyncio.gather(*(self._cancel(name) for name in self.names.values()))
-        self.there = sum(len(world.of_job(name)) for name in self.names.values())
+        self.cancelled_present = sum(len(world.of_job(name)) for name in self.names.values())
         self.told_at = world.now
 
-    def chosen_obey(self) -> list[str]:
-        """Which of the machines have ever obeyed who leads now."""
+    def unreachable_that_obeyed(self) -> list[str]:
+        """Return the unreachable machines that have obeyed the present leader."""
         world = self.world
         row = world.store.keys.get(LEADER_KEY)
         obeyed = world.obeyed.get(row[1], {}) if row else {}
-        return [name for name in self.chosen if name in obeyed]
+        return [name for name in self.unreachable if name in obeyed]
 
     async def _cancel(self, name: str) -> None:
         world = self.world
@@ -134,41 +138,45 @@
             task.cancel()
 
     async def watch(self, seconds: float) -> None:
-        """Until every limit is used in full again, or that long."""
+        """Observe until each limit is used in full again, or for the given time."""
         world, end = self.world, self.world.now + seconds
-        while len(self.used_at) < len(self.names) and world.now < end:
+        while len(self.limit_used_at) < len(self.names) and world.now < end:
             if world.failure is not None:
                 raise world.failure
             for owner, name in self.names.items():
-                if owner not in self.gone_at and not world.of_job(name):
-                    self.gone_at[owner] = world.now
-                if owner in self.gone_at and owner not in self.used_at and self.at_limit(owner):
-                    self.used_at[owner] = world.now
+                if owner not in self.cancelled_gone_at and not world.of_job(name):
+                    self.cancelled_gone_at[owner] = world.now
+                if (
+                    owner in self.cancelled_gone_at
+                    and owner not in self.limit_used_at
+                    and self.at_limit(owner)
+                ):
+                    self.limit_used_at[owner] = world.now
             await asyncio.sleep(0.05)
 
-    def changes(self) -> int:
-        """How often the lead went to another term since the trouble began."""
-        return sum(at >= self.begun for at in self.world.store.written[LEADER_KEY])
+    def leader_changes(self) -> int:
+        """Count the changes of leader since the machines became unreachable."""
+        return sum(at >= self.disturbed_at for at in self.world.store.written[LEADER_KEY])
 
 
-async def _hand(world: World, node: Node) -> bool:
+async def _hand_over(world: World, node: Node) -> bool:
     return bool(await world.within(node.settings.member, node.handover.give(CLOUD)))
 
 
-async def _change(world: World, how: str) -> None:
-    """The lead passes on, planned or not; the old leader may come back, and may not hear of it."""
+async def _change_leader(world: World, how: str) -> None:
+    """Change the leader by a handover, a crash, a quick restart, or loss of the state service."""
     await _until(world, 30.0, lambda: _leader(world))
     node = _leader(world)
     assert node is not None and node.term is not None
     member, token = node.settings.member, node.leadership.token
     if how == "given":
-        assert await _hand(world, node)
+        assert await _hand_over(world, node)
     elif how == "ended":
         world.crash(member)
         world.loop.call_later(2.0, world.boot, member)
     elif how == "back":
         await world.restart(member, 0.2)
-    else:  # refused, with its workers
+    else:  # the state service refuses the leader, which keeps its workers
         world.store.refused[member] = world.now + 12.0
 
     def passed() -> bool:
@@ -178,43 +186,45 @@
     await _until(world, 30.0, passed)
 
 
-async def _spell(
+async def _run_scenario(
     world: World,
     kind: str,
     how: Sequence[str],
     when: int,
     before_s: float = 0.5,
-    away_s: float = AWAY_S,
+    unreachable_s: float = UNREACHABLE_S,
     cloud: bool = True,
-) -> Spell:
-    """The meeting; `when`: users cancel during this change of leader, or after the last.
+) -> Scenario:
+    """Play one scenario.
 
-    `cloud`: whether machines can be returned meanwhile.
+    `kind`: how the machines are unreachable. `how`: the changes of leader. `when`: the number of
+    the change during which users cancel; if there is none, they cancel after the last. `cloud`:
+    whether machines can be returned meanwhile.
     """
-    spell = Spell(world)
-    await spell.fill()
+    scenario = Scenario(world)
+    await scenario.fill()
     if not cloud:
-        world.cut(set(world.members), {"cloud"}, away_s + 30.0, False)
-    spell.trouble(kind, away_s)
+        world.cut(set(world.members), {"cloud"}, unreachable_s + 30.0, False)
+    scenario.disturb(kind, unreachable_s)
     await asyncio.sleep(before_s)
     for number, change in enumerate(how):
         if number == when:
-            await asyncio.gather(spell.cancel(), _change(world, change))
+            await asyncio.gather(scenario.cancel(), _change_leader(world, change))
         else:
-            await _change(world, change)
+            await _change_leader(world, change)
     if how:
-        spell.heard_of = spell.chosen_obey()
-    if not spell.told_at:
-        await spell.cancel()
-    await spell.watch(90.0)
-    return spell
+        scenario.obeyed_machines = scenario.unreachable_that_obeyed()
+    if not scenario.told_at:
+        await scenario.cancel()
+    await scenario.watch(90.0)
+    return scenario
 
 
-def _play(seed: int, kind: str, how: Sequence[str], when: int = 0, **more: Any) -> Spell:
-    found: list[Spell] = []
+def _play(seed: int, kind: str, how: Sequence[str], when: int = 0, **more: Any) -> Scenario:
+    found: list[Scenario] = []
 
     async def story(world: World) -> None:
-        found.append(await _spell(world, kind, how, when, **more))
+        found.append(await _run_scenario(world, kind, how, when, **more))
 
     tell(story, seed, loss=0.0, kind=Limited)
     return found[0]
@@ -222,7 +232,7 @@
 
 KINDS = ["cut", "held", "mute", "deaf", "hang"]
 CHANGES: list[tuple[str, ...]] = [(), ("back",), ("given", "ended", "back"), ("refused",)]
-PROVED_S = 15.0  # s; from the last cancelled task's end until its room is used again
+ROOM_REUSE_S = 15.0  # from the end of the last cancelled task until its room is used again
 
 
 @pytest.mark.parametrize("how", CHANGES, ids=lambda how: "-".join(how) or "no change")
@@ -230,22 +240,27 @@
 def test_a_limit_holds_while_machines_cant_be_asked_and_is_used_again(
     kind: str, how: tuple[str, ...]
 ) -> None:
-    """All teams at their limits, machines away, jobs cancelled, the leader changed 0, 1, 3 times.
+    """Limits hold at each start while machines are unreachable and the leader changes 0 to 3 times.
 
-    The rules are held against each start. Guards against a new leader that counts only what it
-    has heard of, and against room that stays counted long after the tasks are gone: with
-    machines that hear nothing it did: for a median of 27 to 30 s, 33 at most, in 24 spells.
+    Guards against a new leader that counts only the tasks reported to it, and against room that
+    stays counted long after the tasks have ended. Machines that receive no messages caused the
+    latter: in 24 scenarios, the median delay was 27 to 30 s and the maximum 33 s.
     """
-    spell = _play(len(how) + KINDS.index(kind), kind, how)
-    world = spell.world
-    assert spell.changes() == len(how)
-    assert spell.there == 8, "the cancelled tasks were there when their users were told"
+    scenario = _play(len(how) + KINDS.index(kind), kind, how)
+    world = scenario.world
+    assert scenario.leader_changes() == len(how)
+    assert scenario.cancelled_present == 8, (
+        "the cancelled tasks were there when their users were told"
+    )
     if how:
-        assert not spell.heard_of, "their machines had not obeyed the new leader"
+        assert not scenario.obeyed_machines, "their machines had not obeyed the new leader"
     assert world.gone_most < world.CANCEL_S
-    assert spell.used_at.keys() == spell.names.keys()
-    late = {owner: at - spell.gone_at[owner] for owner, at in spell.used_at.items()}
-    assert max(late.values()) < PROVED_S, late
+    assert scenario.limit_used_at.keys() == scenario.names.keys()
+    late = {
+        owner: at - scenario.cancelled_gone_at[owner]
+        for owner, at in scenario.limit_used_at.items()
+    }
+    assert max(late.values()) < ROOM_REUSE_S, late
 
 
 @pytest.mark.parametrize("how", [(), ("back",), ("refused", "ended", "back")], ids=len)
@@ -253,30 +268,31 @@
 def test_where_no_machine_can_be_returned_a_limit_waits_for_a_proof(
     kind: str, how: tuple[str, ...]
 ) -> None:
-    """The cloud is away, too: the own lease proves it, or under a new leader the machine itself.
+    """Room is reused only once it is proven free, also while the cloud is unavailable.
 
-    Mute machines end cancelled tasks by their own lease, far within `cancel_s`.
+    The proof is the end of the leader's own lease on the machine, or under a new leader a report
+    of the machine. Mute machines end cancelled tasks when their lease ends, far within `cancel_s`.
     """
-    spell = _play(7, kind, how, cloud=False)
-    world = spell.world
-    assert spell.there == 8 and spell.changes() == len(how)
+    scenario = _play(7, kind, how, cloud=False)
+    world = scenario.world
+    assert scenario.cancelled_present == 8 and scenario.leader_changes() == len(how)
     assert world.gone_most < world.LEASE_S + 1.0
-    back_at = spell.begun + AWAY_S
-    for at in spell.used_at.values():
-        if how:  # an earlier leader may keep them: nobody has surely let them go
-            assert back_at < at < back_at + PROVED_S
+    back_at = scenario.disturbed_at + UNREACHABLE_S
+    for at in scenario.limit_used_at.values():
+        if how:  # an earlier leader may have renewed the machines' leases
+            assert back_at < at < back_at + ROOM_REUSE_S
         else:
-            assert at < spell.begun + world.LEASE_S + PROVED_S
-    assert len(spell.used_at) == 2
+            assert at < scenario.disturbed_at + world.LEASE_S + ROOM_REUSE_S
+    assert len(scenario.limit_used_at) == 2
 
 
-def _counts_what_it_heard_of(patch: Patch) -> None:
-    """Attempts on machines that have not reported them to this leader do not count."""
-    plain = TeamLimits.begin
+def _count_only_reported(patch: Patch) -> None:
+    """Do not count attempts that machines have not reported to this leader."""
+    original = TeamLimits.begin
 
     def begin(self: TeamLimits, jobs: Iterable[Job], now: float) -> None:
         every = list(jobs)
-        plain(self, every, now)
+        original(self, every, now)
         for job in every:
             for attempt in job.live.values():
                 if not attempt.state and not attempt.decided:
@@ -286,21 +302,24 @@
     patch.setattr(TeamLimits, "begin", begin)
 
 
-def _counts_no_cancelled(patch: Patch) -> None:
-    plain = TeamLimits.begin
+def _ignore_cancelled(patch: Patch) -> None:
+    """Do not count the attempts of cancelled jobs."""
+    original = TeamLimits.begin
 
     def begin(self: TeamLimits, jobs: Iterable[Job], now: float) -> None:
-        plain(self, [job for job in jobs if not job.cancelled], now)
+        original(self, [job for job in jobs if not job.cancelled], now)
 
     patch.setattr(TeamLimits, "begin", begin)
 
 
-def _over_once_cancelled(patch: Patch) -> None:
-    """The end is written while attempts may be there, and they are forgotten with the job."""
+def _end_once_cancelled(patch: Patch) -> None:
+    """Record the end of a cancelled job, and drop its attempts, while they may be present."""
     patch.setattr(Job, "over", property(lambda self: self.aborted or self.complete))
 
 
-def _gone_when_silent(patch: Patch) -> None:
+def _expire_when_silent(patch: Patch) -> None:
+    """Treat leases as over after 3 s without a report."""
+
     def lapsed(self: Fleet, machine: Machine) -> bool:
         last = machine.reported_at if machine.reported_at is not None else machine.known_at
         return self._clock.now() - last > 3.0
@@ -311,12 +330,11 @@
 
 @pytest.mark.parametrize("how", [("back",), ("given", "ended", "back")], ids=len)
 @pytest.mark.parametrize("kind", ["cut", "hang", "deaf"])
-@pytest.mark.parametrize(
-    "bug", [_counts_what_it_heard_of, _counts_no_cancelled, _over_once_cancelled]
-)
+@pytest.mark.parametrize("bug", [_count_only_reported, _ignore_cancelled, _end_once_cancelled])
 def test_bugs_in_what_counts_break_the_limit(
     bug: Callable[[Patch], None], kind: str, how: tuple[str, ...], monkeypatch: Patch
 ) -> None:
+    """The checks above must find a program that counts too little against a limit."""
     bug(monkeypatch)
     with pytest.raises(Broken, match="quota"):
         _play(1, kind, how)
@@ -324,13 +342,20 @@
 
 @pytest.mark.parametrize("kind", ["cut", "hang", "mute"])
 def test_a_silent_machine_taken_for_empty_breaks_the_limit(kind: str, monkeypatch: Patch) -> None:
-    _gone_when_silent(monkeypatch)
+    """A machine that does not report for a while may still run tasks, which count."""
+    _expire_when_silent(monkeypatch)
     with pytest.raises(Broken, match="quota"):
         _play(1, kind, ())
 
 
 def test_room_that_stays_counted_on_deaf_machines_is_found(monkeypatch: Patch) -> None:
-    """What was so before: only silence was a reason to return a machine with cancelled work."""
+    """Room stays counted if only silence lets a machine with cancelled work be returned.
+
+    Machines that send reports but receive nothing are not silent, and keep cancelled tasks.
+    """
     monkeypatch.setattr(Hearing, "deaf", property(lambda self: False))
-    spell = _play(1, "deaf", ("back",))
-    assert all(at - spell.gone_at[owner] > PROVED_S for owner, at in spell.used_at.items())
+    scenario = _play(1, "deaf", ("back",))
+    assert all(
+        at - scenario.cancelled_gone_at[owner] > ROOM_REUSE_S
+        for owner, at in scenario.limit_used_at.items()
+    )
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Admission and allocation, with figures worked by hand."""
+"""Admission and allocation by BoPF, with figures calculated by hand."""
 
 import pytest
 
@@ -103,9 +103,9 @@
 
 
 def test_a_more_urgent_burst_goes_before_a_fixed_rate_whatever_its_class() -> None:
-    """Found on a grown day: unsafe, so elastic, urgent bursts stood behind hard rates.
+    """Guards against urgent bursts that are elastic, since unsafe, yielding to hard rates.
 
-    Thousands of their tasks waited while less urgent work held most CPUs.
+    In a large region, thousands of their tasks waited while less urgent work held most CPUs.
     """
     low = demand("low", QueueKind.HARD, 500, rate=90)
     urgent = demand("urgent", QueueKind.ELASTIC, 500, urgency=1)
@@ -134,7 +134,7 @@
 
 
 def test_filling_takes_bounded_steps_and_stays_fair() -> None:
-    """Thousands of small tasks: shares differ by a step of the cluster at most."""
+    """With thousands of small tasks, shares differ by at most two steps of `DRF_STEP`."""
     total = (5000.0, 0.0, 1e5)
     small = ((1.0, 0.0, 1.0), (4000.0, 0.0, 4000.0), 1.0)
     large = ((4.0, 0.0, 6.0), (4000.0, 0.0, 6000.0), 1.0)
@@ -147,7 +147,10 @@
 
 
 def test_fair_shares_follow_guarantees_and_leave_nobody_without() -> None:
-    """Long-term shares: by guarantee, a quarter evenly, a team's queues alike, wants respected."""
+    """Shares follow guarantees plus a quarter divided evenly, and never exceed what is wanted.
+
+    The queues of one team get equal shares.
+    """
     capacity = (100.0, 0.0, 400.0)
     teams = {"red": Team("red", 60.0), "blue": Team("blue", 30.0), "green": Team("green")}
 
@@ -171,7 +174,7 @@
 
 
 def test_a_share_is_rounded_up_to_whole_tasks() -> None:
-    """Rounded down, a task and a half is claimed only while none runs."""
+    """Rounded down, a share of one and a half tasks would be claimed only while none runs."""
     wide = (4.0, 0.0, 12.0)
     assert round_up_to_tasks((1.0, 0.0, 2.0), wide) == wide
     assert round_up_to_tasks((5.8, 0.0, 9.0), wide) == (8.0, 0.0, 24.0)
