--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -38,9 +38,9 @@
 
 def gather(domain: TermContext, renter: Renter) -> Hints:
     """The hints of a term, each kind bounded."""
-    clock, fleet, most = domain.office.clock, domain.fleet, constants.HINTS_EACH
+    clock, fleet, most = domain.context.clock, domain.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
-    out = Hints(domain.office.token, clock.wall())
+    out = Hints(domain.context.token, clock.wall())
     out.ratios, out.never = renter.boots.told(shift)
     out.refused = [(pool, until + shift) for pool, until in renter.blocked.items() if until > now]
     machines = fleet.machines.values()
@@ -64,7 +64,7 @@
 
 def apply(hints: Hints, domain: TermContext, renter: Renter) -> None:
     """Begin a term with what the last leader said, as far as the record agrees."""
-    clock, fleet, jobs = domain.office.clock, domain.fleet, domain.book.jobs
+    clock, fleet, jobs = domain.context.clock, domain.fleet, domain.registry.jobs
     shift = clock.now() - clock.wall()
     renter.boots.hear(hints.ratios, hints.never, shift)
     latest = clock.now() + constants.REFUSED_S
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -23,10 +23,10 @@
         took_in: Callable[[Machine, bool], None],
         ended: Ended,
     ) -> None:
-        self.office = domain.office
-        self.leadership = domain.office.leadership
-        self.clock = domain.office.clock
-        self.book = domain.book
+        self.office = domain.context
+        self.leadership = domain.context.leadership
+        self.clock = domain.context.clock
+        self.book = domain.registry
         self.fleet = domain.fleet
         self.flavors = domain.flavors
         self.live = domain.is_serving
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -32,9 +32,9 @@
         sweep: Callable[[], None],
         refused: Callable[[], Iterable[Pool]],
     ) -> None:
-        self.office = office = domain.office
+        self.office = office = domain.context
         self.clock = office.clock
-        self.book = domain.book
+        self.book = domain.registry
         self.fleet = domain.fleet
         self.queues = queues = domain.queues
         self.flavors = domain.flavors
@@ -48,7 +48,7 @@
         self.least_waiting = float("inf")  # CPUs of the smallest task that waited lately
         self.preempted_at = -1e9
         self.told_at = -1e9
-        self.kept = queues.stored_parts
+        self.kept = queues.persisted_values
         self.loops = [self._loop]
 
     # -- as a part ------------------------------------------------------------------
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -57,7 +57,7 @@
 
 def join(own: LicenceSettings, joint: Joint) -> Licences:
     """The table of subsystems asks for this."""
-    return Licences(joint.domain.office, joint.domain.queues, own, joint.http)
+    return Licences(joint.domain.context, joint.domain.queues, own, joint.http)
 
 
 def refusal(own: LicenceSettings) -> Callable[[JobSpec], str | None]:
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -122,8 +122,8 @@
         self.renter = renter
         self.able = able
         self.ties = ties
-        self.clock = domain.office.clock
-        self.book = domain.book
+        self.clock = domain.context.clock
+        self.book = domain.registry
         self.fleet = domain.fleet
         self.value = MovesValue()
         self.record = Kept(MOVES_KEY, self._load, lambda: self.value)
@@ -288,7 +288,7 @@
         if not fitting or any(fits(spec.room, slot.free) for slot in fitting):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
-        teams = self.domain.office.settings.cluster.teams
+        teams = self.domain.context.settings.cluster.teams
         maxima = TeamLimits({team.name: team for team in teams}, self.domain.queues)
         maxima.begin(self.book.jobs.values(), self.clock.now())
         if not maxima.ready(job) or maxima.most(job, count) < count:
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -28,8 +28,8 @@
     """The leader's waiting jobs as the needs of a rental plan."""
 
     def __init__(self, domain: TermContext, able: Callable[[Job, int], int]) -> None:
-        self._settings = domain.office.settings
-        self._book = domain.book
+        self._settings = domain.context.settings
+        self._book = domain.registry
         self._fleet = domain.fleet
         self._queues = domain.queues
         self._flavors = domain.flavors
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -39,9 +39,9 @@
         lost: Callable[[Attempt], None],
         able: Callable[[Job, int], int],
     ) -> None:
-        self.settings = domain.office.settings
-        self.clock = clock = domain.office.clock
-        self.book = domain.book
+        self.settings = domain.context.settings
+        self.clock = clock = domain.context.clock
+        self.book = domain.registry
         self.fleet = domain.fleet
         self.queues = domain.queues
         self.flavors = domain.flavors
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -44,9 +44,9 @@
         # The capacity C of the paper is 0 before any machine reports. What is guaranteed to teams
         # will be rented, so it counts as capacity in admission.
         teams = self.teams.values()
-        promised = (sum(t.cpus for t in teams), sum(t.gpus for t in teams), 0.0)
+        guaranteed = (sum(t.cpus for t in teams), sum(t.gpus for t in teams), 0.0)
         admission_room = tuple(
-            max(a, b) for a, b in zip(queues.peak_capacity, promised, strict=True)
+            max(a, b) for a, b in zip(queues.peak_capacity, guaranteed, strict=True)
         )
         declarations = queues.declarations()
         kinds = admit(declarations, admission_room, queues.settings.operator.nmin)
@@ -58,34 +58,34 @@
             if queue == jobs[0].queue and record.kind != kind.value:
                 record.kind = kind.value
                 queues.mark_changed(queue)
-            wants, task, remaining = self.queue_usage[queue], ZERO, 0.0
+            wanted, task, remaining_work = self.queue_usage[queue], ZERO, 0.0
             for job in jobs:
                 count = self.constraints.able(job, job.startable)
-                wants = plus(wants, tuple(a * count for a in job.spec.room))
+                wanted = plus(wanted, tuple(a * count for a in job.spec.room))
                 task = tuple(max(a, b) for a, b in zip(task, job.spec.room, strict=True))
                 work = (count + len(job.live)) * queues.expected_run_s(job)
-                remaining += work * dominant(job.spec.room, self.snapshot.capacity)
+                remaining_work += work * dominant(job.spec.room, self.snapshot.capacity)
             declaration = declarations.get(queue)
             rate = declaration.rate if declaration else ZERO
             # Overlapping bursts add up: the rate is at least what the queue holds plus what its
             # jobs still lack for their next bounds. The sum starts from all that the queue holds,
             # because jobs without waiting tasks hold resources too; if they were left out, they
             # would use up what the other jobs are granted.
-            now = self.queue_usage[queue]
+            needed_now = self.queue_usage[queue]
             for job in jobs:
                 missing = min(job.startable, max(0, self.tasks_needed_now(job) - len(job.live)))
                 missing = self.constraints.able(job, missing)
-                now = plus(now, tuple(a * missing for a in job.spec.room))
+                needed_now = plus(needed_now, tuple(a * missing for a in job.spec.room))
             demands[queue] = QueueDemand(
                 queue,
                 jobs[0].spec.owner,
                 kind,
                 task,
-                wants,
-                tuple(max(a, b) for a, b in zip(rate, now, strict=True)),
-                remaining,
+                wanted,
+                tuple(max(a, b) for a, b in zip(rate, needed_now, strict=True)),
+                remaining_work,
                 urgency=max(job.spec.rank for job in jobs),
-                needed_now=ZERO if best_effort else now,
+                needed_now=ZERO if best_effort else needed_now,
                 is_best_effort=best_effort,
                 usage=self.queue_usage[queue],
             )
@@ -103,14 +103,14 @@
         if not job.spec.pullGb or job.spec.shape == "gang" or not queues.prefers_local_image(job):
             return False
         run_s = queues.expected_run_s(job)
-        least = 2 * (run_s + queues.image_fetch_s(job))
-        slack = queues.slack_s(job)
-        time = least if slack == float("inf") else max(slack, least)
-        runs_per_slack = self.snapshot.image_cpus[job.spec.bundle] * time / run_s
-        if runs_per_slack < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
+        min_wait_s = 2 * (run_s + queues.image_fetch_s(job))
+        slack_s = queues.slack_s(job)
+        wait_s = min_wait_s if slack_s == float("inf") else max(slack_s, min_wait_s)
+        cpu_runs = self.snapshot.image_cpus[job.spec.bundle] * wait_s / run_s
+        if cpu_runs < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
             return False
         if job.stays_until is None:
-            job.stays_until = self.snapshot.now + time / 2
+            job.stays_until = self.snapshot.now + wait_s / 2
         return self.snapshot.now < job.stays_until
 
     def tasks_needed_now(self, job: Job) -> int:
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -80,7 +80,7 @@
         self._part_of_queue: dict[str, int] = {}  # queue -> number of the value with its record
         self._part_bytes: list[int] = []  # estimated bytes in each of these values
         count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / max_value_bytes))
-        self.stored_parts = [
+        self.persisted_values = [
             Kept(
                 f"{SHARES_KEY}/{number}" if number else SHARES_KEY,
                 self._load,
@@ -128,8 +128,8 @@
         """Request that a queue's record be written, after its kind has changed."""
         self._assign_parts()
         part = self._part_of_queue[queue]
-        if part < len(self.stored_parts):
-            self.stored_parts[part].touch()
+        if part < len(self.persisted_values):
+            self.persisted_values[part].touch()
 
     def queue_record(self, job: Job) -> QueueRecord:
         """Return the record of a job's queue, created if there is none."""
@@ -143,7 +143,7 @@
         """
         record, spec = self.queue_record(job), job.spec
         work = spec.tasks * max(spec.expectedS, 1.0) * record.correction
-        burst_work = tuple(amount * work for amount in spec.room)
+        job_work = tuple(amount * work for amount in spec.room)
         alpha = constants.ESTIMATE_ALPHA
         due = spec.dueS or min((a.within_s for a in self._objectives(job, "finished")), default=0.0)
         if record.last == 0.0:
@@ -157,7 +157,7 @@
             record.period += alpha * (job.open_at - record.began - record.period)
             record.coming, record.began = ZERO, job.open_at
         record.deadline += alpha * (due - record.deadline)
-        record.coming = tuple(map(add, record.coming, burst_work))
+        record.coming = tuple(map(add, record.coming, job_work))
         record.last = max(record.last, job.open_at)
 
     def observe_run(self, job: Job, seconds: float) -> None:
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -272,10 +272,10 @@
     def _place_largest_jobs(self, jobs: list[Job], room: Vector) -> int:
         """Place a queue's largest jobs, the longest-waiting one until it is done, then the next.
 
-        `room` is the queue's share. Together the largest jobs hold at most `LARGEST_SHARE` of it,
-        but at least one task, or one gang. The part grows to all tasks of the first job as far as
-        `LARGEST_MOST` of the share holds them: in two waves the job would take twice as long, and
-        most of the part would be unused during the second.
+        `room` is the queue's share, or what it holds. Together the largest jobs hold at most
+        `LARGEST_SHARE` of it, but at least one task, or one gang. The part grows to all tasks of
+        the first job as far as `LARGEST_MOST` of the share holds them: in two waves the job would
+        take twice as long, and most of the part would be unused during the second.
         """
         waiting = [job for job in jobs if self.constraints.ready(job)]
         if not waiting:
@@ -325,7 +325,7 @@
                 placed += 1
         return placed
 
-    # -- what goes where --------------------------------------------------------------
+    # -- placement --------------------------------------------------------------------
 
     def _place_within_budget(
         self,
--- a/src/chalkgrade/sharing/term_context.py
+++ b/src/chalkgrade/sharing/term_context.py
@@ -17,8 +17,8 @@
     `is_serving` returns whether the leader may make decisions now.
     """
 
-    office: Office
-    book: Book
+    context: Office
+    registry: Book
     fleet: Fleet
     queues: Queues
     flavors: dict[str, Flavor]
