--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -174,8 +174,10 @@
             assert node is not None
             for other in world.nodes.values():
                 if other is not None:
-                    other.handover.direct_at = other.clock.now()  # the proof that is asked for
-            giving = world.spawn(world.within(member, node.handover.give(WORKERS)))
+                    other.handover.direct_report_at = (
+                        other.clock.now()
+                    )  # the proof that is asked for
+            giving = world.spawn(world.within(member, node.handover.transfer_lead(WORKERS)))
             acted, vacant = world.now, 0.0
             while not giving.done() or not _acting(world):
                 await asyncio.sleep(0.001)
--- a/src/chalkgrade/record/fates.py
+++ b/src/chalkgrade/record/fates.py
@@ -2,7 +2,7 @@
 
 Whoever reads the record sees what such a commit has changed, and tells users. So what memory
 says of those jobs may be older than what users know: `account` names the keys that show it,
-and whoever answers reads them first (`serving.telling`). Until a commit is sent nobody can
+and whoever answers reads them first (`serving.job_status`). Until a commit is sent nobody can
 know what it says; once its answer is taken in, memory says the same.
 """
 
--- a/src/chalkgrade/serving/testimony.py
+++ b/src/chalkgrade/serving/cancellation_poll.py
@@ -24,38 +24,38 @@
 log = logging.getLogger("chalkgrade.testimony")
 
 
-class Told:
+class AnnouncedCancellations:
     """The cancellations that this process has told users of, and when it first did."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._whole_from = clock.now()  # nothing that was told since then is missing
-        self._names: OrderedDict[str, float] = OrderedDict()
+        self._complete_since = clock.now()  # nothing that was told since then is missing
+        self._announced_at: OrderedDict[str, float] = OrderedDict()
 
-    def note(self, status: int, body: dict[str, Any]) -> None:
+    def note_answer(self, status: int, body: dict[str, Any]) -> None:
         """An answer to a user, before it is sent."""
         if status not in (200, 201) or body.get("status") != "withdrawn":
             return
         name = str(body.get("nameId", ""))
-        if name in self._names:
+        if name in self._announced_at:
             return
-        self._names[name] = self._clock.now()
-        while len(self._names) > constants.TOLD_KEPT:
-            _, self._whole_from = self._names.popitem(last=False)
+        self._announced_at[name] = self._clock.now()
+        while len(self._announced_at) > constants.TOLD_KEPT:
+            _, self._complete_since = self._announced_at.popitem(last=False)
 
-    def since(self, ago_s: float) -> list[str] | None:
+    def announced_within(self, ago_s: float) -> list[str] | None:
         """All that was told in the last so many seconds; None if this process can't know all.
 
         Who asks counts until its question was sent; its way here, and the drift of both
         clocks, are added.
         """
         begin = self._clock.now() - ago_s * (1 + constants.CLOCK_DRIFT) - constants.TOLD_SLACK_S
-        if begin <= self._whole_from:
+        if begin <= self._complete_since:
             return None
-        return [name for name, at in self._names.items() if at >= begin]
+        return [name for name, at in self._announced_at.items() if at >= begin]
 
 
-class Testimony:
+class CancellationPoll:
     """Asks all others while this leader only keeps its workers, and answers their questions."""
 
     def __init__(
@@ -66,7 +66,7 @@
         leadership: Leadership,
         term: Callable[[], Term | None],
     ) -> None:
-        self.told = Told(clock)
+        self.announced = AnnouncedCancellations(clock)
         self._clock = clock
         self._peers = peers
         self._others = others
@@ -83,9 +83,9 @@
             if self._leadership.acting():
                 term.doubt()
             elif self._leadership.sheltering():
-                await self._ask(term)
+                await self._poll_members(term)
 
-    async def _ask(self, term: Term) -> None:
+    async def _poll_members(self, term: Term) -> None:
         shelter = self._leadership.shelter
         asked_at = self._clock.now()
         ago_s = asked_at - shelter.known_until
@@ -94,7 +94,10 @@
             *(self._peers.ask(m, question, constants.PEER_TIMEOUT_S) for m in self._others),
             return_exceptions=True,
         )
-        lists = [self.told.since(ago_s), *(self._names(answer) for answer in answers)]
+        lists = [
+            self.announced.announced_within(ago_s),
+            *(self._listed_jobs(answer) for answer in answers),
+        ]
         if self._term() is not term:
             return
         # First what was told, then the knowledge: never the other way round.
@@ -104,7 +107,7 @@
             log.debug("all controllers tell whom they told: workers are kept on")
 
     @staticmethod
-    def _names(answer: dict[str, Any] | BaseException) -> list[str] | None:
+    def _listed_jobs(answer: dict[str, Any] | BaseException) -> list[str] | None:
         """What one of them lists; None if it does not know all."""
         if isinstance(answer, NoAnswer):
             return None
@@ -116,11 +119,11 @@
             return None
         return found if answer.get("status") == 200 else None
 
-    def answer(self, ago_s: Any) -> dict[str, Any]:
+    def answer_poll(self, ago_s: Any) -> dict[str, Any]:
         """Answer another controller."""
         if isinstance(ago_s, bool) or not isinstance(ago_s, int | float) or not ago_s >= 0:
             return {"status": 400, "body": {"error": "seconds are needed"}}
-        names = self.told.since(float(ago_s))
+        names = self.announced.announced_within(float(ago_s))
         if names is None:
             return {"status": 503, "body": {"error": "this process can't know all"}}
         return {"status": 200, "body": names}
--- a/src/chalkgrade/serving/daemon.py
+++ b/src/chalkgrade/serving/daemon.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from chalkgrade.serving.client import HttpClient
-from chalkgrade.serving.links import Answering, PeerLinks
+from chalkgrade.serving.links import PeerLinks, PeerRequestServer
 from chalkgrade.serving.node import Node
 from chalkgrade.serving.server import Server
 from chalkgrade.settings import Settings, split_addr
@@ -30,7 +30,7 @@
         return time.time()
 
 
-def home(settings: Settings) -> str:
+def process_identity(settings: Settings) -> str:
     """What only one living process can hold: this kernel's run, its network, our addresses.
 
     The kernel lets no second process listen on an address. Where it does not tell its run
@@ -53,10 +53,12 @@
         rng = random.Random(os.urandom(32))
         self.http = HttpClient()
         self.links = PeerLinks(settings.others)
-        self.node = Node(settings, self.http, self.links, SystemClock(), rng, home(settings))
+        self.node = Node(
+            settings, self.http, self.links, SystemClock(), rng, process_identity(settings)
+        )
         self.server = Server(self.node)
-        self._listening: list[asyncio.Server] = []
-        self._watch: asyncio.Task[None] | None = None
+        self._listeners: list[asyncio.Server] = []
+        self._guard_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Listen and begin; OSError when an address can't be had."""
@@ -64,28 +66,28 @@
         settings = self.settings
         host, port = split_addr(settings.cluster_listen, "cluster_listen")
         peers = await loop.create_server(
-            lambda: Answering(self.node), host, port, reuse_address=True
+            lambda: PeerRequestServer(self.node), host, port, reuse_address=True
         )
-        self._listening.append(peers)
+        self._listeners.append(peers)
         host, port = split_addr(settings.bind, "bind")
         sockets = settings.cluster.quota.sockets  # a fleet comes back at once
         users = await loop.create_server(
             self.server, host, port, reuse_address=True, backlog=sockets
         )
-        self._listening.append(users)
+        self._listeners.append(users)
         log.info(
             "%s serves on %s, peers on %s", settings.member, settings.bind, settings.cluster_listen
         )
-        self._watch = asyncio.create_task(self.server.watch())
+        self._guard_task = asyncio.create_task(self.server.watch_connections())
         self.node.start()
 
     async def stop(self) -> None:
         """End all that `start` began. Others take over as after a crash."""
         self.node.stop()
-        for listening in self._listening:
+        for listening in self._listeners:
             listening.close()
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._guard_task is not None:
+            self._guard_task.cancel()
         await self.server.close()
         self.links.close()
         await self.http.close()
--- a/src/chalkgrade/serving/naming.py
+++ b/src/chalkgrade/serving/dependency_check.py
@@ -10,31 +10,33 @@
 from chalkgrade.leading.term import Term
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX
-from chalkgrade.serving.reading import Answer, Mark
+from chalkgrade.serving.record_reader import Answer, RecordSummary
 from chalkgrade.state.ledger import Ledger
 
-SERVICE = "service"
+SERVICE_SHAPE = "service"
 
 
-Records = Callable[[], Awaitable[Mapping[str, Mark]]]  # all jobs not over, read after the call
+ReadUnfinishedJobs = Callable[
+    [], Awaitable[Mapping[str, RecordSummary]]
+]  # all jobs not over, read after the call
 
 
-class Naming:
+class DependencyCheck:
     """One node's answers about jobs that others name."""
 
     def __init__(
         self,
         ledger: Ledger,
         finals: Mapping[str, Mapping[str, Any]],
-        records: Records,
+        records: ReadUnfinishedJobs,
         tell: Callable[[str], Awaitable[Answer]],
     ) -> None:
         self.ledger = ledger
-        self.finals = finals  # final states that are known here
-        self.records = records
-        self.tell = tell  # a job's state, as users hear it
+        self.final_states = finals  # final states that are known here
+        self.read_unfinished_jobs = records
+        self.job_status = tell  # a job's state, as users hear it
 
-    async def refusal(self, names: list[str], term: Term | None) -> str | None:
+    async def dependency_rejection(self, names: list[str], term: Term | None) -> str | None:
         """Why these can't be waited for, or None; NoAnswer where that can't be known now.
 
         Who surely leads knows all jobs that are not over but those that another node has just
@@ -48,18 +50,18 @@
                 admission = term.book.admissions.get(name)
                 if admission is None or name in known:
                     continue
-                if (await self.tell(name))[0] != 200:
+                if (await self.job_status(name))[0] != 200:
                     raise NoAnswer("one of them is being accepted")
                 shapes[name] = admission.value.spec.shape
             known |= shapes.keys()
         else:
-            marks = await self.records()
+            marks = await self.read_unfinished_jobs()
             shapes = {name: marks[name].spec.shape for name in names if name in marks}
             known = shapes.keys() | set[str]()
         for name, shape in shapes.items():
-            if shape == SERVICE:
+            if shape == SERVICE_SHAPE:
                 return f"waitsOn: {name} is a service, which is never done"
-        rest = [name for name in names if name not in known and name not in self.finals]
+        rest = [name for name in names if name not in known and name not in self.final_states]
         # A job that is not over turns into its end atomically: both are looked at at once.
         keys = [prefix + name for name in rest for prefix in (JOB_PREFIX, END_PREFIX)]
         found = await self.ledger.present(keys)
--- a/src/chalkgrade/serving/handover.py
+++ b/src/chalkgrade/serving/handover.py
@@ -23,7 +23,7 @@
 log = logging.getLogger("chalkgrade.handover")
 
 
-class Ready(msgspec.Struct):
+class SuccessorOffer(msgspec.Struct):
     """A successor's answer: its lease, and the mark by which it knows the key for its own."""
 
     permit: int
@@ -50,9 +50,9 @@
         self.views = views
         self.leadership = leadership
         self.cloud = cloud
-        self.machines = machines  # that the leader knows to be up
+        self.reporting_machine_count = machines  # that the leader knows to be up
         self.fitness = Fitness(clock, report_s)
-        self.direct_at = -1e9  # when a worker's own report last reached us
+        self.direct_report_at = -1e9  # when a worker's own report last reached us
         self.counts: dict[str, int] = {}
 
     async def run(self) -> None:
@@ -63,12 +63,15 @@
                 continue
             cloud = self.cloud
             why = self.fitness.why(
-                cloud.answered_at, cloud.reached(), self.direct_at, self.machines()
+                cloud.answered_at,
+                cloud.reached(),
+                self.direct_report_at,
+                self.reporting_machine_count(),
             )
             if why:
-                await self.give(why)
+                await self.transfer_lead(why)
 
-    async def give(self, why: str) -> bool:
+    async def transfer_lead(self, why: str) -> bool:
         """Look for somebody better and hand over; whether the key was moved."""
         moved = False
         for member in self.candidates()[: constants.HANDOVER_ASKED]:
@@ -77,7 +80,7 @@
                 reply = await self.peers.ask(member, message, constants.SUCCEED_S)
                 if reply.get("status") != 200:
                     continue
-                ready = msgspec.convert(reply.get("body"), Ready)
+                ready = msgspec.convert(reply.get("body"), SuccessorOffer)
             except (NoAnswer, msgspec.ValidationError) as error:
                 log.debug("%s can't succeed: %s", member, error)
                 continue
@@ -98,7 +101,7 @@
         words = [word for word in words if not word.aside]
         return [word.member for word in sorted(words, key=placed)]
 
-    async def succeed(self, why: Any) -> dict[str, Any]:
+    async def answer_takeover_request(self, why: Any) -> dict[str, Any]:
         """Asked to take over: prove that we reach what the leader does not, and get ready."""
         later = {"status": 503, "body": {}}
         if not self.leadership.able() or self.leadership.token:
@@ -107,10 +110,10 @@
             if why == CLOUD:
                 async with asyncio.timeout(constants.SUCCEED_S / 2):
                     await self.cloud.flavors()
-            elif why != WORKERS or self.clock.now() - self.direct_at > constants.UNFIT_S:
+            elif why != WORKERS or self.clock.now() - self.direct_report_at > constants.UNFIT_S:
                 return later
             offer = await self.leadership.offer()
         except (NoAnswer, NotExecuted, Rejected, TimeoutError):
             return later
-        ready = Ready(offer.permit, offer.nonce, offer.lease_s, self.leadership.home)
+        ready = SuccessorOffer(offer.permit, offer.nonce, offer.lease_s, self.leadership.home)
         return {"status": 200, "body": msgspec.to_builtins(ready)}
--- a/src/chalkgrade/serving/telling.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -20,50 +20,52 @@
 from chalkgrade import constants
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.fates import Account
-from chalkgrade.serving.reading import LATER, Answer, Reading
+from chalkgrade.serving.record_reader import RETRY_LATER, Answer, RecordReader
 from chalkgrade.state.ledger import NotExecuted, Rejected
 
-OPEN = 409  # between controllers: an `Account` whose open commits are to be looked at first
-FINAL = ("done", "withdrawn")
+COMMITS_OPEN = 409  # between controllers: an `Account` whose open commits are to be looked at first
+FINAL_STATUSES = ("done", "withdrawn")
 
-Leader = Callable[[str], Awaitable[Answer]]  # what the leader says, wherever it is
+AskLeader = Callable[[str], Awaitable[Answer]]  # what the leader says, wherever it is
 
 
-class Telling:
+class StatusResolver:
     """One node's."""
 
     def __init__(
-        self, reading: Reading, finals: Mapping[str, dict[str, Any]], leader: Leader
+        self, reading: RecordReader, finals: Mapping[str, dict[str, Any]], leader: AskLeader
     ) -> None:
-        self.reading = reading
-        self.finals = finals
-        self.leader = leader
+        self.record_reader = reading
+        self.final_states = finals
+        self.ask_leader = leader
 
-    async def tell(self, name: str) -> Answer:
+    async def job_status(self, name: str) -> Answer:
         """A job's state."""
-        known = self.finals.get(name)
+        known = self.final_states.get(name)
         if known is not None:
             return 200, known
-        return self.latest(await self.settle(name, await self.leader(name)))
+        return self.prefer_final_state(await self.resolve_answer(name, await self.ask_leader(name)))
 
-    async def settle(self, name: str, said: Answer) -> Answer:
+    async def resolve_answer(self, name: str, said: Answer) -> Answer:
         """What may be told, given what the leader said just now; 404: its book lacks the job."""
         status, body = said
         if status == 200:
             return said
         try:
             async with asyncio.timeout(constants.QUERY_DEADLINE_S):
-                if status == OPEN:
+                if status == COMMITS_OPEN:
                     account = msgspec.convert(body, Account)
-                    return await self.reading.settle(name, account.told, account.open)
-                return await self.reading.read(name, led=status == 404)
+                    return await self.record_reader.read_open_commits(
+                        name, account.told, account.open
+                    )
+                return await self.record_reader.read_status(name, absent_at_leader=status == 404)
         except (TimeoutError, NoAnswer, NotExecuted, Rejected):
-            return LATER
+            return RETRY_LATER
         except (msgspec.DecodeError, msgspec.ValidationError):
-            return LATER
+            return RETRY_LATER
 
-    def latest(self, answer: Answer) -> Answer:
+    def prefer_final_state(self, answer: Answer) -> Answer:
         """An answer as it leaves: what has become final since it was made is said instead."""
         status, body = answer
-        known = self.finals.get(str(body.get("nameId", "")))
+        known = self.final_states.get(str(body.get("nameId", "")))
         return answer if known is None else (status, known)
--- a/src/chalkgrade/serving/lookups.py
+++ b/src/chalkgrade/serving/lookups.py
@@ -23,42 +23,42 @@
     def __init__(self, ledger: Ledger) -> None:
         self._ledger = ledger
         self._waiting: dict[str, asyncio.Future[set[str]]] = {}
-        self._lanes: set[asyncio.Task[None]] = set()
+        self._requests: set[asyncio.Task[None]] = set()
 
     @property
-    def _most(self) -> int:
+    def _jobs_per_request(self) -> int:
         """Jobs in one request: two conditions each."""
         return max(1, self._ledger.limits.conditions // 2)
 
-    async def present(self, name: str) -> set[str]:
+    async def existing_job_keys(self, name: str) -> set[str]:
         """Which of a job's own key and its final key are there, by a read that begins now.
 
         Raises NoAnswer where too many wait already, or what the read raised.
         """
         future = self._waiting.get(name)
         if future is None:
-            if len(self._waiting) >= 2 * self._most:
+            if len(self._waiting) >= 2 * self._jobs_per_request:
                 raise NoAnswer("too many questions")
             future = self._waiting[name] = asyncio.get_running_loop().create_future()
-            if len(self._lanes) < constants.LOOKUP_LANES:
-                lane = asyncio.create_task(self._run())
-                self._lanes.add(lane)
-                lane.add_done_callback(self._lanes.discard)
+            if len(self._requests) < constants.LOOKUP_LANES:
+                lane = asyncio.create_task(self._process_queue())
+                self._requests.add(lane)
+                lane.add_done_callback(self._requests.discard)
         return await asyncio.shield(future)
 
-    async def _run(self) -> None:
+    async def _process_queue(self) -> None:
         while self._waiting:
             await self._ledger.asking.wait()
             if not self._waiting:
                 return  # another lane has taken them
-            names = list(self._waiting)[: self._most]
+            names = list(self._waiting)[: self._jobs_per_request]
             futures = {name: self._waiting.pop(name) for name in names}
             keys = [prefix + name for name in names for prefix in (JOB_PREFIX, END_PREFIX)]
             compared = asyncio.create_task(self._ledger.present(keys))
             try:
                 done, _ = await asyncio.wait({compared}, timeout=self._ledger.hedge_s())
                 if not done:
-                    await self._singly(futures)
+                    await self._read_one_by_one(futures)
                 found = await compared if futures else set()
             except (NoAnswer, NotExecuted, Rejected) as error:
                 for future in futures.values():
@@ -71,7 +71,7 @@
             for name, future in futures.items():
                 future.set_result(found & {JOB_PREFIX + name, END_PREFIX + name})
 
-    async def _singly(self, futures: dict[str, asyncio.Future[set[str]]]) -> None:
+    async def _read_one_by_one(self, futures: dict[str, asyncio.Future[set[str]]]) -> None:
         """Read the keys themselves, of as many jobs as the budget has room for just now.
 
         A comparison is a transaction, and where answers of those are lost a question would
--- a/src/chalkgrade/serving/metrics.py
+++ b/src/chalkgrade/serving/metrics.py
@@ -3,7 +3,7 @@
 from chalkgrade.serving.node import Node
 
 
-def metrics(node: Node) -> bytes:
+def render_metrics(node: Node) -> bytes:
     """The Prometheus page; its library is loaded at the first scrape, not at the start."""
     from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
 
--- a/src/chalkgrade/serving/netstrings.py
+++ b/src/chalkgrade/serving/netstrings.py
@@ -10,16 +10,16 @@
 DIGITS_MAX = len(str(constants.NETSTRING_MAX))
 
 
-class Broken(Exception):
+class FramingError(Exception):
     """Not a netstring of a JSON object: the connection can't be trusted further."""
 
 
-def frame(message: Any) -> bytes:
+def encode_netstring(message: Any) -> bytes:
     payload = encode(message)
     return b"%d:%b," % (len(payload), payload)
 
 
-class Reader:
+class NetstringDecoder:
     """Cuts a stream into messages."""
 
     def __init__(self) -> None:
@@ -35,21 +35,21 @@
                 if len(self._buffer) > DIGITS_MAX or not (
                     self._buffer == b"" or self._buffer.isdigit()
                 ):
-                    raise Broken("no length")
+                    raise FramingError("no length")
                 return out
             digits = bytes(self._buffer[:colon])
             if not digits.isdigit() or (len(digits) > 1 and digits[0] == ord("0")):
-                raise Broken("bad length")
+                raise FramingError("bad length")
             size = int(digits)
             if size > constants.NETSTRING_MAX:
-                raise Broken("too long")
+                raise FramingError("too long")
             end = colon + 1 + size
             if len(self._buffer) <= end:
                 return out
             if self._buffer[end] != ord(","):
-                raise Broken("no comma")
+                raise FramingError("no comma")
             try:
                 out.append(msgspec.json.decode(self._buffer[colon + 1 : end], type=dict))
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
-                raise Broken(f"not a JSON object: {error}") from None
+                raise FramingError(f"not a JSON object: {error}") from None
             del self._buffer[: end + 1]
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -22,11 +22,11 @@
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.seams import subsystems
 from chalkgrade.seams.parts import Sample, by_label, gauge
+from chalkgrade.serving.cancellation_poll import CancellationPoll
 from chalkgrade.serving.handover import Handover
-from chalkgrade.serving.intake import Intake
-from chalkgrade.serving.reading import LATER, Answer
-from chalkgrade.serving.reception import Reception
-from chalkgrade.serving.testimony import Testimony
+from chalkgrade.serving.job_api import JobApi
+from chalkgrade.serving.record_reader import RETRY_LATER, Answer
+from chalkgrade.serving.report_router import ReportRouter
 from chalkgrade.settings import Settings
 from chalkgrade.state.leadership import Leadership
 from chalkgrade.state.ledger import Ledger, NotExecuted
@@ -50,8 +50,8 @@
         """`home`: see `LeaderValue`; to be held from `start` to the end of the process."""
         self.settings = settings
         self.clock = clock
-        self.began = clock.now()
-        self.cut_at = -1e9  # when we were last up within an outage for all
+        self.started_at = clock.now()
+        self.outage_seen_at = -1e9  # when we were last up within an outage for all
         self.peers = peers
         self.http = http
         self.rng = rng
@@ -62,32 +62,34 @@
         self.cloud = Cloud(http, clock, settings.endpoints.cloud, cluster.cloud.rps)
         spare = cluster.workers.cancel_s - cluster.workers.lease_s - constants.LIMBO_MARGIN_S
         self.leadership = Leadership(
-            self.ledger, clock, rng, settings.member, spare, self._lead, self._lose, home
+            self.ledger, clock, rng, settings.member, spare, self._begin_term, self._end_term, home
         )
         others = [peer.member for peer in settings.others]
-        self.views = Views(settings.member, others, clock, cluster.skew_ms / 1000, self._changed)
+        self.views = Views(
+            settings.member, others, clock, cluster.skew_ms / 1000, self._on_state_changed
+        )
         self.views.process = mark(rng.getrandbits(64))
         pause = constants.CAMPAIGN_PAUSE_S
         self.presence = Presence(
-            self.ledger, self.views, lambda: pause * (1 + rng.random()), self._step_aside
+            self.ledger, self.views, lambda: pause * (1 + rng.random()), self._on_superseded
         )
         self.watch = Watch(
             self.views,
             peers,
             clock,
             rng,
-            self.word,
-            self._note,
+            self.own_status,
+            self._on_status,
             lambda: self.leadership.leader,
         )
         self.leadership.able = lambda: not self.presence.aside
-        self.leadership.rank = self._rank
-        self.leadership.lease_s = self._lease_s
-        self.intake = Intake(
+        self.leadership.rank = self._campaign_rank
+        self.leadership.lease_s = self._lease_duration_s
+        self.job_api = JobApi(
             settings, self.ledger, self.leadership, peers, clock, self.flavors, self.views
         )
-        self.succession = Succession(self._tell)
-        self.reception = Reception(
+        self.succession = Succession(self._send_hints)
+        self.report_router = ReportRouter(
             self.leadership,
             self.views,
             peers,
@@ -102,21 +104,28 @@
             self.leadership,
             self.cloud,
             cluster.workers.report_s,
-            self._machines_up,
+            self._reporting_machine_count,
+        )
+        self.cancellation_poll = CancellationPoll(
+            clock, peers, others, self.leadership, lambda: self.term
         )
-        self.testimony = Testimony(clock, peers, others, self.leadership, lambda: self.term)
-        self.intake.checks += subsystems.refusals(settings)
+        self.job_api.submission_checks += subsystems.refusals(settings)
         self.term: Term | None = None
-        self.counts: dict[str, int] = {}
+        self.responses_by_status: dict[str, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        loops = [self.leadership.run(), self._flavors_loop(), self.intake.watch()]
-        knowing = (*self.watch.loops, *self.presence.loops, self.handover.run, self.testimony.run)
-        loops += [self._again(loop) for loop in knowing]
+        loops = [self.leadership.run(), self._flavors_loop(), self.job_api.watch_final_states()]
+        knowing = (
+            *self.watch.loops,
+            *self.presence.loops,
+            self.handover.run,
+            self.cancellation_poll.run,
+        )
+        loops += [self._restart_on_error(loop) for loop in knowing]
         self._tasks = [asyncio.create_task(loop) for loop in loops]
 
-    async def _again(self, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _restart_on_error(self, loop: Callable[[], Awaitable[None]]) -> None:
         """A loop that meets a bug begins anew: without it this controller would know nobody."""
         while True:
             try:
@@ -133,20 +142,25 @@
         self.watch.stop()
         self.leadership.depose()  # whoever listens here next takes it for ended
 
-    def _lead(self, token: int) -> None:
+    def _begin_term(self, token: int) -> None:
         self.handover.fitness.leads()
         self.watch.announce()
         office = Office(self.settings, token, self.leadership, self.ledger, self.clock)
         self.term = Term(
-            office, self.cloud, self.flavors, self.intake.remember, self.http, self.succession
+            office,
+            self.cloud,
+            self.flavors,
+            self.job_api.remember_final_state,
+            self.http,
+            self.succession,
         )
-        self.intake.term = self.term
+        self.job_api.term = self.term
         self.term.start()
 
-    def _lose(self) -> None:
+    def _end_term(self) -> None:
         if self.term is not None:
             self.term.stop()
-        self.term = self.intake.term = None
+        self.term = self.job_api.term = None
 
     async def _flavors_loop(self) -> None:
         """Know the machine types: from the cloud, or as the last leader knew them."""
@@ -173,8 +187,8 @@
         yield gauge("shelter_left", text, round(left, 1))
         yield from self._member_samples()
         yield by_label("handovers", "Planned handovers", "outcome", self.handover.counts)
-        yield gauge("up", "1 while users are served here", self.up())
-        yield by_label("http_responses", "Responses by status", "status", self.counts)
+        yield gauge("up", "1 while users are served here", self.accepts_users())
+        yield by_label("http_responses", "Responses by status", "status", self.responses_by_status)
         yield by_label("state_responses", "State service answers", "status", self.ledger.counts)
         yield by_label("cloud_responses", "Cloud answers", "status", self.cloud.counts)
         if self.term is not None:
@@ -200,7 +214,7 @@
 
     # -- peers --------------------------------------------------------------------
 
-    def word(self) -> Word:
+    def own_status(self) -> Word:
         """What this controller says of itself."""
         views = self.views
         return Word(
@@ -214,19 +228,20 @@
             self.ledger.fresh(),
             self.cloud.reached(),
             round(views.late_s(), 3),
-            round(self._own_lease_s(), 3),
+            round(self._own_lease_duration_s(), 3),
             self.presence.aside,
-            self.clock.now() - self.began < constants.YOUNG_S and not self._older(),
+            self.clock.now() - self.started_at < constants.YOUNG_S
+            and not self._knows_older_version(),
             views.suspects(),
             constants.VERSION,
         )
 
-    def _older(self) -> bool:
+    def _knows_older_version(self) -> bool:
         """Whether an earlier version of the program is at work: its processes end before ours."""
         words = (view.word for view in self.views.of.values())
         return any(word is not None and word.version < constants.VERSION for word in words)
 
-    def _note(self, word: Word) -> None:
+    def _on_status(self, word: Word) -> None:
         """A word of another controller was taken in: who leads, as it says."""
         if word.token:
             if word.token > self.ledger.revision_bound():
@@ -236,7 +251,7 @@
                 self.leadership.know(word.member)
             self.leadership.heard(word.token, word.member)
 
-    def _changed(self, member: str, old: str, new: str) -> None:
+    def _on_state_changed(self, member: str, old: str, new: str) -> None:
         view, now = self.views.of[member], self.clock.now()
         shown = log.info if new == ALIVE else log.warning
         shown(
@@ -250,7 +265,7 @@
         if member == self.leadership.leader:
             self.leadership.changed.fire()  # who waits for the leader looks again
 
-    def _own_lease_s(self) -> float:
+    def _own_lease_duration_s(self) -> float:
         """How long a lease of the lead should be, as far as this controller measured."""
         wary = self.clock.now() - self.leadership.ended_under_us_at < constants.LEASE_WARY_S
         slow = constants.LEASE_SLOWS * self.ledger.slow_s()
@@ -258,17 +273,17 @@
         wished = constants.LEASE_TTL_S if wary else constants.LEASE_LEAST_S + slow + late
         return min(constants.LEASE_TTL_S, wished)
 
-    def _lease_s(self) -> float:
+    def _lease_duration_s(self) -> float:
         """The longest that any controller, the last leader too, has asked for of late."""
         words = (view.word for view in self.views.of.values())
         now = self.clock.wall()
         asked = [w.lease_s for w in words if w is not None and now - w.at < constants.LATE_KEPT_S]
-        return min(constants.LEASE_TTL_S, max([self._own_lease_s(), *asked]))
+        return min(constants.LEASE_TTL_S, max([self._own_lease_duration_s(), *asked]))
 
-    def _rank(self) -> int:
+    def _campaign_rank(self) -> int:
         """How many controllers are better placed to lead: they campaign first."""
 
-        mine = self.word()
+        mine = self.own_status()
         words = [w for w in self.views.fresh() if self.views.state(w.member) == ALIVE]
         own = placed(mine)
         better = sum(placed(word) < own and not word.aside for word in words)
@@ -276,7 +291,7 @@
         unheard = sum(view.word is None for view in self.views.of.values())
         return better + unheard * mine.young
 
-    async def _tell(self, hints: Hints) -> None:
+    async def _send_hints(self, hints: Hints) -> None:
         message = {"q": "hints", "arg": hints}
         peers = self.handover.candidates()[: constants.HINTS_PEERS]
         asked = [self.peers.ask(peer, message, constants.PEER_TIMEOUT_S) for peer in peers]
@@ -284,12 +299,12 @@
             if isinstance(answer, BaseException) and not isinstance(answer, NoAnswer):
                 raise answer
 
-    def _machines_up(self) -> int:
+    def _reporting_machine_count(self) -> int:
         """Machines that have reported in this term and are not given up."""
         machines = self.term.fleet.machines.values() if self.term is not None else ()
         return sum(machine.reported_at is not None for machine in machines)
 
-    def _step_aside(self) -> None:
+    def _on_superseded(self) -> None:
         """Another process of our name is newer: it serves, we do not."""
         self.leadership.depose()
 
@@ -308,18 +323,18 @@
                     self.views.drop("hints")
                 return {"status": 200, "body": {}}
             if what == "told":
-                return self.testimony.answer(arg)
+                return self.cancellation_poll.answer_poll(arg)
             if what == "succeed":
-                return await self.handover.succeed(arg)
+                return await self.handover.answer_takeover_request(arg)
             if what in ("status", "abort") and isinstance(arg, str):
-                status, body = LATER
+                status, body = RETRY_LATER
                 if self.term is not None:
-                    status, body = await self.intake.lead(what, arg)
+                    status, body = await self.job_api.answer_as_leader(what, arg)
             elif what == "submit" and isinstance(arg, str):
-                status, body = LATER
+                status, body = RETRY_LATER
                 if self.term is not None and self.term.live():
                     spec = parse_submission(arg.encode(), self.ledger.limits.value_b)
-                    status, body = await self.intake.admit(spec)
+                    status, body = await self.job_api.submit_as_leader(spec)
             elif what == "hello":
                 status, body = 421, {}
                 if self.term is not None and self.term.ready:
@@ -328,12 +343,12 @@
         except (msgspec.ValidationError, Invalid) as error:
             status, body = 400, {"error": str(error)}
         except (NoAnswer, NotExecuted):
-            status, body = LATER
+            status, body = RETRY_LATER
         return {"status": status, "body": body}
 
     # -- HTTP ---------------------------------------------------------------------
 
-    def up(self) -> bool:
+    def accepts_users(self) -> bool:
         """Whether users are served here: not when we alone are cut off from the state."""
         if self.presence.aside:
             return False
@@ -341,50 +356,50 @@
         if self.ledger.fresh():
             # An outage that has just ended: machine types are known in a moment, and balancers
             # let nobody in for seconds who was away for one (found where seeds were changed).
-            return bool(self.flavors) or now - self.cut_at < constants.TYPES_S
+            return bool(self.flavors) or now - self.outage_seen_at < constants.TYPES_S
         fresh = self.views.fresh()
         if any(word.state for word in fresh):
-            return bool(self.flavors and self.reception.near())
+            return bool(self.flavors and self.report_router.is_leader_reachable())
         # Nobody reaches it: an outage, in which leaving the balancer would only cost time later:
         # also to who is back within it and knows no machine types yet (found on the bench,
         # where users had no controller for seconds after its end).
-        self.cut_at = now if fresh else self.cut_at
+        self.outage_seen_at = now if fresh else self.outage_seen_at
         return bool(fresh)
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer:
         """One HTTP request of a user, a worker or the balancer."""
         if path == "/hello" and method == "POST":
-            return await self._hello(body)
+            return await self._handle_worker_report(body)
         if path == "/up" and method == "GET":
-            return (200, {"up": True}) if self.up() else (503, {"up": False})
+            return (200, {"up": True}) if self.accepts_users() else (503, {"up": False})
         if path == "/v2/runs" or path.startswith("/v2/runs/"):
-            status, answer = await self._user(method, path, body)
-            self.testimony.told.note(status, answer)  # before it is sent
+            status, answer = await self._handle_user_request(method, path, body)
+            self.cancellation_poll.announced.note_answer(status, answer)  # before it is sent
             return status, answer
         return 404, {"error": "no such resource"}
 
-    async def _user(self, method: str, path: str, body: bytes) -> Answer:
+    async def _handle_user_request(self, method: str, path: str, body: bytes) -> Answer:
         if path == "/v2/runs":
             if method != "POST":
                 return 405, {"error": "POST only"}
-            return await self.intake.submit(body)
+            return await self.job_api.submit(body)
         if path.startswith("/v2/runs/"):
             name = path.removeprefix("/v2/runs/")
             if name.endswith("/abort"):
                 if method != "POST":
                     return 405, {"error": "POST only"}
-                return await self.intake.abort(name.removesuffix("/abort"))
+                return await self.job_api.abort(name.removesuffix("/abort"))
             if method != "GET":
                 return 405, {"error": "GET only"}
-            return await self.intake.query(name)
+            return await self.job_api.query(name)
         return 404, {"error": "no such resource"}
 
-    async def _hello(self, body: bytes) -> Answer:
+    async def _handle_worker_report(self, body: bytes) -> Answer:
         try:
             report = msgspec.json.decode(body, type=Report)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return 400, {"error": str(error)}
         if self.presence.aside:
             return 421, {}
-        self.handover.direct_at = self.clock.now()
-        return await self.reception.hello(report, body)
+        self.handover.direct_report_at = self.clock.now()
+        return await self.report_router.handle_report(report, body)
--- a/src/chalkgrade/state/shelter.py
+++ b/src/chalkgrade/state/shelter.py
@@ -19,7 +19,7 @@
    until `known_until + spare_s`, its tasks are over at `known_until + spare_s + lease_s`,
    and `spare_s` is `cancel_s - lease_s` less a margin for both clocks.
 5. After `proved_until` the knowledge lasts on if all others list whom they have told since then
-   (`serving.testimony`): whoever is told of a cancellation that is in no list is told after its
+   (`serving.cancellation_poll`): whoever is told of a cancellation that is in no list is told after its
    teller has answered, which is after we asked. So `known_until` is when we asked.
 6. Whoever knows of a cancellation sends a kill with each answer that renews. So a worker that
    goes from leader to leader, in any order, is stopped by the first that knows, and is let go
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -21,9 +21,9 @@
 from chalkgrade.record.jobs import BATCH_PREFIX, END_PREFIX, JOB_PREFIX, JobValue
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.serving.intake import Intake
-from chalkgrade.serving.reading import Mark, Reading
-from chalkgrade.serving.telling import FINAL
+from chalkgrade.serving.job_api import JobApi
+from chalkgrade.serving.job_status import FINAL_STATUSES
+from chalkgrade.serving.record_reader import RecordReader, RecordSummary
 from test_membership import _give, _leader, _until
 
 Patch = pytest.MonkeyPatch
@@ -219,7 +219,7 @@
         assert world.now < begun + 3.0, answer
         answer = await world.look(name, alone)
     assert answer[1]["status"] == status and world.executed
-    leads = lead.intake.term
+    leads = lead.job_api.term
     assert leads is not None and leads.writer.fates.of(name), "its commit is open"
     again = {"GET": world.look, "POST": world.submit}
     for member in (first, third, alone):
@@ -227,7 +227,7 @@
             answer = await ask(name, member)
             assert answer is not None and answer[0] in (200, 201), (member, what, answer)
             assert answer[1]["status"] == status, (member, what, answer)
-            assert leads.writer.fates.of(name) or status in FINAL, "still open"
+            assert leads.writer.fates.of(name) or status in FINAL_STATUSES, "still open"
 
 
 async def _accepted_unheard(world: Held) -> None:
@@ -241,7 +241,7 @@
     await asyncio.sleep(0.3)
     await _by_all(world, name, "pending")
     heir = world.known(world.job(2) | {"waitsOn": [name], "jobclass": "heirs"})
-    term = lead.intake.term
+    term = lead.job_api.term
     assert term is not None and name in term.book.admissions
     answer = await world.submit(heir, first)
     assert answer is not None and answer[0] in (201, 503), answer  # known: never 422
@@ -286,7 +286,7 @@
     world.cut({other}, {first}, 1.5, False)
     await world.submit(name, other)
     await _until(world, 5.0, lambda: JOB_PREFIX + name in world.store.keys)
-    term = lead.intake.term
+    term = lead.job_api.term
     assert term is not None
     await _until(world, 5.0, lambda: name in term.jobs and name in term.book.admissions)
     world.jobs[name]["asked"] = True
@@ -344,7 +344,9 @@
         return found
 
     third.ledger.scan = scan  # type: ignore[method-assign]
-    answer = await world.within(third.settings.member, third.intake.reading.read(name, led=False))
+    answer = await world.within(
+        third.settings.member, third.job_api.record_reader.read_status(name, absent_at_leader=False)
+    )
     assert answer[1]["status"] == "withdrawn" and scans[:2] == [JOB_PREFIX, BATCH_PREFIX], answer
 
 
@@ -391,14 +393,14 @@
             raise NoAnswer("not durable in time")
         return admission.result.result()
 
-    plain = Intake.admit
+    plain = JobApi.submit_as_leader
 
-    async def pending(self: Intake, spec: Any) -> Any:
+    async def pending(self: JobApi, spec: Any) -> Any:
         status, body = await plain(self, spec)
         return status, {"nameId": spec.nameId, "status": "pending"} if status == 201 else body
 
     patch.setattr(Book, "admit", admit)
-    patch.setattr(Intake, "admit", pending)
+    patch.setattr(JobApi, "submit_as_leader", pending)
 
 
 def _book_while_the_end_is_open(patch: Patch) -> None:
@@ -429,36 +431,36 @@
 
 def _own_key_only(patch: Patch) -> None:
     """A job's own record is taken for all there is of it."""
-    scan = Reading._scan
+    scan = RecordReader._scan_records
 
-    async def own(self: Reading, before: Any) -> dict[str, Mark]:
+    async def own(self: RecordReader, before: Any) -> dict[str, RecordSummary]:
         marks = await scan(self, before)
         for row in (await self.ledger.scan(JOB_PREFIX))[0]:
             name = row.k.removeprefix(JOB_PREFIX)
-            mark = await self._mark(name, row.k)
+            mark = await self._record_under_key(name, row.k)
             if mark is not None:
                 marks[name] = mark
         return marks
 
-    async def settle(self: Reading, name: str, told: Any, keys: Any) -> Any:
+    async def settle(self: RecordReader, name: str, told: Any, keys: Any) -> Any:
         return await plain(self, name, told, [JOB_PREFIX + name])
 
-    plain = Reading.settle
-    patch.setattr(Reading, "_scan", own)
-    patch.setattr(Reading, "settle", settle)
+    plain = RecordReader.read_open_commits
+    patch.setattr(RecordReader, "_scan_records", own)
+    patch.setattr(RecordReader, "read_open_commits", settle)
 
 
 def _own_record_is_proof(patch: Patch) -> None:
     """What the first scan has shown of a job is not looked at again."""
-    plain = Reading._scan
+    plain = RecordReader._scan_records
 
-    async def once(self: Reading, before: Any) -> dict[str, Mark]:
+    async def once(self: RecordReader, before: Any) -> dict[str, RecordSummary]:
         marks = await plain(self, before)
         for mark in marks.values():
             mark.doubtful = False
         return marks
 
-    patch.setattr(Reading, "_scan", once)
+    patch.setattr(RecordReader, "_scan_records", once)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -22,8 +22,8 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.worker import Task
 from chalkgrade.region.world import World, close, tell
-from chalkgrade.serving import intake, node
-from chalkgrade.serving.intake import Intake
+from chalkgrade.serving import job_api, node
+from chalkgrade.serving.job_api import JobApi
 from chalkgrade.sharing import gates
 from chalkgrade.state.leadership import LEADER_KEY
 from test_gap import _long
@@ -123,14 +123,14 @@
 
 def _answers_from_what_it_heard_once(patch: Patch) -> None:
     """A node that repeats the leader's last counts to whoever asks."""
-    plain = Intake.query
+    plain = JobApi.query
 
-    async def query(self: Intake, name: str) -> tuple[int, dict[str, Any]]:
-        if self.term is None and name in self.counts and name not in self.finals:
-            return 200, self.counts[name]
+    async def query(self: JobApi, name: str) -> tuple[int, dict[str, Any]]:
+        if self.term is None and name in self.last_leader_answers and name not in self.final_states:
+            return 200, self.last_leader_answers[name]
         return await plain(self, name)
 
-    patch.setattr(Intake, "query", query)
+    patch.setattr(JobApi, "query", query)
 
 
 def _calls_off_what_is_complete(patch: Patch) -> None:
@@ -176,18 +176,18 @@
 
 
 def _takes_what_fits_nothing(patch: Patch) -> None:
-    patch.setattr(Intake, "refusal", lambda self, spec: None)
+    patch.setattr(JobApi, "rejection_reason", lambda self, spec: None)
 
 
 def _fills_in_what_is_missing(patch: Patch) -> None:
     """A field that is not there is taken for 0."""
-    plain = intake.parse_submission
+    plain = job_api.parse_submission
 
     def parse(body: bytes, value_b: int) -> Any:
         found = {"flushS": 0.0, "savepointS": 0.0} | msgspec.json.decode(body)
         return plain(msgspec.json.encode(found), value_b)
 
-    patch.setattr(intake, "parse_submission", parse)
+    patch.setattr(job_api, "parse_submission", parse)
     patch.setattr(node, "parse_submission", parse)  # the leader's, of what others pass on
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -13,7 +13,7 @@
 from chalkgrade.record.jobs import Job
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
-from chalkgrade.serving import intake
+from chalkgrade.serving import job_api
 from chalkgrade.sharing import gates
 from chalkgrade.state import ledger
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
@@ -149,12 +149,12 @@
 
 
 def test_answering_404_from_memory_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def hasty(self: intake.Intake, name: str) -> intake.Answer:
+    async def hasty(self: job_api.JobApi, name: str) -> job_api.Answer:
         if self.term is not None and self.term.live():
-            return await self.lead("status", name)
-        return intake.UNKNOWN
+            return await self.answer_as_leader("status", name)
+        return job_api.UNKNOWN_JOB
 
-    monkeypatch.setattr(intake.Intake, "query", hasty)
+    monkeypatch.setattr(job_api.JobApi, "query", hasty)
     _breaks("forgotten")
 
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -23,8 +23,13 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.store import Store
 from chalkgrade.serving.client import HttpClient
+from chalkgrade.serving.connection_guard import (
+    BUSY_USER_REQUESTS_MAX,
+    ConnectionGuard,
+    ConnectionState,
+    RequestKind,
+)
 from chalkgrade.serving.daemon import Daemon
-from chalkgrade.serving.guard import BUSY_MOST, Guard, State, Use
 from chalkgrade.settings import Settings
 
 HANG_S = 20.0  # far beyond what anything here takes: only against a test that never ends
@@ -105,7 +110,7 @@
         for daemon in daemons:
             await daemon.start()
         await _until(lambda: any(d.node.term and d.node.term.live() for d in daemons))
-        await _until(lambda: all(d.node.up() and d.node.flavors for d in daemons))
+        await _until(lambda: all(d.node.accepts_users() and d.node.flavors for d in daemons))
         yield daemons, client
     finally:
         for daemon in daemons:
@@ -241,8 +246,8 @@
 
             for start in range(0, 2000, 100):
                 await asyncio.gather(*(half(number) for number in range(start, start + 100)))
-                guard = leader.server.guard
-                assert guard.number(State.UNFINISHED) <= guard.unfinished_max
+                guard = leader.server.connection_guard
+                assert guard.count(ConnectionState.UNFINISHED) <= guard.unfinished_max
                 for path, body in (("/up", None), ("/hello", _hello(f"host-{start:06d}"))):
                     method = "GET" if body is None else "POST"
                     reply = await client.call(leader.settings.bind, method, path, body, 9.0)
@@ -250,11 +255,16 @@
                 answer = await follower.links.ask(leader.settings.member, {"q": "ping"}, 9.0)
                 assert answer["status"] in (200, 400)
             await _until(
-                lambda: leader.server.guard.number(State.UNFINISHED) <= constants.UNFINISHED_KEPT
+                lambda: (
+                    leader.server.connection_guard.count(ConnectionState.UNFINISHED)
+                    <= constants.UNFINISHED_KEPT
+                )
             )
             for _, writer in held:
                 writer.close()
-            await _until(lambda: leader.server.guard.number(State.UNFINISHED) == 0)
+            await _until(
+                lambda: leader.server.connection_guard.count(ConnectionState.UNFINISHED) == 0
+            )
             monkeypatch.setattr(constants, "TELL_EVERY_S", 0.0)
             await _until(lambda: any("connections ended" in r.message for r in caplog.records))
 
@@ -269,35 +279,35 @@
     for seed in range(20):
         rng, clock = random.Random(seed), HandClock()
         ended: list[int] = []
-        guard: Guard[int] = Guard(clock, ended.append, 1200)
+        guard: ConnectionGuard[int] = ConnectionGuard(clock, ended.append, 1200)
         alive: dict[int, str] = {}  # connection -> what it does, and for whom
         for step in range(4000):
             clock.at += rng.choice([0.0, 0.0, 0.001, 0.3 if rng.random() < 0.02 else 0.0])
             key = rng.choice(list(alive)) if alive and rng.random() < 0.6 else None
             if key is None:
                 alive[step] = "half"
-                guard.opened(step)
+                guard.connection_opened(step)
             elif alive[key] == "half" and rng.random() < 0.3:
-                use = rng.choice([*Use][1:])
-                assert guard.begun(key, use) or use in BUSY_MOST
-                alive[key] = "busy user" if use in BUSY_MOST else "busy worker"
+                use = rng.choice([*RequestKind][1:])
+                assert guard.request_received(key, use) or use in BUSY_USER_REQUESTS_MAX
+                alive[key] = "busy user" if use in BUSY_USER_REQUESTS_MAX else "busy worker"
             elif alive[key].startswith("busy"):
                 alive[key] = alive[key].replace("busy", "idle")
-                guard.done(key)
+                guard.request_answered(key)
             elif alive[key].startswith("idle"):
                 alive[key] = "half"
-                guard.received(key)
+                guard.data_received(key)
             if rng.random() < 0.01:
                 guard.sweep()
-                late = [e for e in guard._entries[State.UNFINISHED].values()]
+                late = [e for e in guard._entries[ConnectionState.UNFINISHED].values()]
                 assert all(clock.at - entry.since <= constants.REQUEST_S for entry in late)
                 old = [e for e in late if clock.at - e.since > constants.UNFINISHED_NEW_S]
                 assert len(old) <= constants.UNFINISHED_KEPT
             for gone in ended:
                 assert alive.pop(gone) in ("half", "idle user")
             ended.clear()
-            assert guard.number(State.UNFINISHED) <= guard.unfinished_max
-            assert len(guard) == len(alive) <= guard.room
+            assert guard.count(ConnectionState.UNFINISHED) <= guard.unfinished_max
+            assert len(guard) == len(alive) <= guard.connections_max
 
 
 class _Crowd:
@@ -305,68 +315,70 @@
 
     def __init__(self, sockets: int) -> None:
         self.clock = HandClock()
-        self.guard: Guard[int] = Guard(self.clock, self._ended, sockets)
-        self.uses: dict[int, Use] = {}
-        self.ended: list[Use] = []
+        self.guard: ConnectionGuard[int] = ConnectionGuard(self.clock, self._ended, sockets)
+        self.uses: dict[int, RequestKind] = {}
+        self.ended: list[RequestKind] = []
         self.number = 0
 
     def _ended(self, key: int) -> None:
         self.ended.append(self.uses.pop(key))
 
-    def open(self, use: Use) -> int:
+    def open(self, use: RequestKind) -> int:
         self.number += 1
         self.uses[self.number] = use
-        self.guard.opened(self.number)
+        self.guard.connection_opened(self.number)
         return self.number
 
     def ask(self, key: int) -> bool:
         if key not in self.uses:
             return False
-        self.guard.received(key)
-        if self.guard.begun(key, self.uses[key]):
+        self.guard.data_received(key)
+        if self.guard.request_received(key, self.uses[key]):
             return True
-        self.guard.closed(key)  # refused, and closed by the answer
+        self.guard.connection_closed(key)  # refused, and closed by the answer
         del self.uses[key]
         return False
 
 
-@pytest.mark.parametrize("storm", [Use.UNKNOWN, Use.SUBMISSION, Use.QUESTION])
-def test_a_storm_of_2000_connections_leaves_900_workers_theirs(storm: Use) -> None:
+@pytest.mark.parametrize("storm", [RequestKind.UNKNOWN, RequestKind.SUBMISSION, RequestKind.QUERY])
+def test_a_storm_of_2000_connections_leaves_900_workers_theirs(storm: RequestKind) -> None:
     """Workers keep or get connections, and are answered; submissions give way first."""
     crowd = _Crowd(1532)
     guard = crowd.guard
-    workers = [crowd.open(Use.REPORT) for _ in range(900)]
+    workers = [crowd.open(RequestKind.REPORT) for _ in range(900)]
     assert all(crowd.ask(key) for key in workers)  # all come back at once
     for key in workers:
-        guard.done(key)
+        guard.request_answered(key)
     refused = 0
     for number in range(2000):
         crowd.clock.at += 0.0005
         key = crowd.open(storm)
-        if storm is not Use.UNKNOWN:
+        if storm is not RequestKind.UNKNOWN:
             refused += not crowd.ask(key)
         if number % 100 == 50:
-            for use in (Use.REPORT, Use.ABORT, Use.HEALTH):
+            for use in (RequestKind.REPORT, RequestKind.ABORT, RequestKind.HEALTH):
                 key = crowd.open(use)
                 assert crowd.ask(key), use
-                guard.done(key)
+                guard.request_answered(key)
             assert crowd.ask(workers[number // 3])
-            guard.done(workers[number // 3])
-        assert len(guard) <= guard.room
-    assert Use.REPORT not in crowd.ended
-    if storm is not Use.UNKNOWN:
-        assert refused == 2000 - BUSY_MOST[storm]
+            guard.request_answered(workers[number // 3])
+        assert len(guard) <= guard.connections_max
+    assert RequestKind.REPORT not in crowd.ended
+    if storm is not RequestKind.UNKNOWN:
+        assert refused == 2000 - BUSY_USER_REQUESTS_MAX[storm]
 
 
 def test_submissions_are_refused_before_questions_and_aborts_last() -> None:
     crowd = _Crowd(1532)
-    first: dict[Use, int] = {}
+    first: dict[RequestKind, int] = {}
     for number in range(2000):
-        use = [Use.SUBMISSION, Use.QUESTION, Use.ABORT, Use.REPORT][number % 4]
+        use = [RequestKind.SUBMISSION, RequestKind.QUERY, RequestKind.ABORT, RequestKind.REPORT][
+            number % 4
+        ]
         if not crowd.ask(crowd.open(use)):
             first.setdefault(use, number)
-    assert first[Use.SUBMISSION] < first[Use.QUESTION] < first[Use.ABORT]
-    assert Use.REPORT not in first or first[Use.REPORT] > first[Use.ABORT]
+    assert first[RequestKind.SUBMISSION] < first[RequestKind.QUERY] < first[RequestKind.ABORT]
+    assert RequestKind.REPORT not in first or first[RequestKind.REPORT] > first[RequestKind.ABORT]
 
 
 def test_more_workers_than_sockets_share_them() -> None:
@@ -378,11 +390,11 @@
         for worker in range(1779):
             crowd.clock.at += 5.0 / 1779
             if there.get(worker) not in crowd.uses:
-                there[worker] = crowd.open(Use.REPORT)
+                there[worker] = crowd.open(RequestKind.REPORT)
             answered += crowd.ask(there[worker])
-            guard.done(there[worker])
-            if guard.crowded():
-                guard.closed(there[worker])
+            guard.request_answered(there[worker])
+            if guard.is_crowded():
+                guard.connection_closed(there[worker])
                 crowd.uses.pop(there[worker])
-            assert len(guard) <= guard.room
+            assert len(guard) <= guard.connections_max
     assert answered == 3 * 1779 and not crowd.ended
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,7 +15,7 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.serving.testimony import Told
+from chalkgrade.serving.cancellation_poll import AnnouncedCancellations
 from chalkgrade.state.leadership import Leadership
 from chalkgrade.state.shelter import Shelter
 from gap_model import Rules, State, walk
@@ -404,7 +404,7 @@
 
 
 def _nothing_listed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Told, "since", lambda self, ago_s: [])
+    patch.setattr(AnnouncedCancellations, "announced_within", lambda self, ago_s: [])
 
 
 def _not_believed(patch: pytest.MonkeyPatch) -> None:
@@ -451,19 +451,19 @@
 
 def test_a_process_lists_only_what_it_can_know_whole() -> None:
     clock = HandClock()
-    told = Told(clock)
+    told = AnnouncedCancellations(clock)
     clock.at += 10.0
-    told.note(200, {"nameId": "run-1", "status": "withdrawn"})
-    told.note(200, {"nameId": "run-2", "status": "running"})
-    told.note(503, {"nameId": "run-3", "status": "withdrawn"})
+    told.note_answer(200, {"nameId": "run-1", "status": "withdrawn"})
+    told.note_answer(200, {"nameId": "run-2", "status": "running"})
+    told.note_answer(503, {"nameId": "run-3", "status": "withdrawn"})
     clock.at += 2.0
-    told.note(200, {"nameId": "run-1", "status": "withdrawn"})
-    assert told.since(4.0) == ["run-1"]
+    told.note_answer(200, {"nameId": "run-1", "status": "withdrawn"})
+    assert told.announced_within(4.0) == ["run-1"]
     # Its question's way may have taken some time: what lies just before is listed as well.
-    assert told.since(0.0) == ["run-1"]
-    assert told.since(9.5) is None  # it may have begun after that: who was it before?
+    assert told.announced_within(0.0) == ["run-1"]
+    assert told.announced_within(9.5) is None  # it may have begun after that: who was it before?
     clock.at += 10.0
-    assert told.since(0.0) == []
+    assert told.announced_within(0.0) == []
 
 
 @pytest.mark.parametrize("arg", [None, "soon", -1, float("nan"), True, [3.0]])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -152,7 +152,7 @@
 
 
 async def _hand(world: World, node: Node) -> bool:
-    return bool(await world.within(node.settings.member, node.handover.give(CLOUD)))
+    return bool(await world.within(node.settings.member, node.handover.transfer_lead(CLOUD)))
 
 
 async def _change(world: World, how: str) -> None:
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -20,7 +20,7 @@
 from chalkgrade.record.oplog import LOG_PREFIX
 from chalkgrade.record.writer import Writer
 from chalkgrade.region.world import World, tell
-from chalkgrade.serving.intake import Intake
+from chalkgrade.serving.job_api import JobApi
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
 from chalkgrade.state.ledger import Ledger, Row
 from test_gap import _long
@@ -108,9 +108,9 @@
     def agrees(self) -> str:
         """In what the leader's book and the state service differ; empty once all is written."""
         leader = _leader(self)
-        if leader is None or leader.intake.term is None:
+        if leader is None or leader.job_api.term is None:
             return "nobody leads"
-        book, keys = leader.intake.term.book, self.store.keys
+        book, keys = leader.job_api.term.book, self.store.keys
         batches = {key: row[1] for key, row in keys.items() if key.startswith(BATCH_PREFIX)}
         if batches != {key: batch.stamp for key, batch in book.batches.items()}:
             return f"batches {batches}"
@@ -171,10 +171,10 @@
     """Three jobs that end and three that are cancelled, while answers of a kind are lost."""
     await _first(world)
     token, leader = _token(world), _leader(world)
-    assert leader is not None and leader.intake.term is not None
+    assert leader is not None and leader.job_api.term is not None
     world.lose(kind, times)
     for number in range(2, 5):
-        leader.intake.term.renter.types.touch()  # a kept value
+        leader.job_api.term.renter.types.touch()  # a kept value
         world.spawn(world.user(_short(number), None))
         world.spawn(world.user(_short(number + 3, tasks=3, expectedS=300.0), 8.0))
         await asyncio.sleep(2.0)
@@ -337,7 +337,7 @@
     leader = _leader(world)
     assert leader is not None
     for node in world.nodes.values():
-        node.handover.direct_at = world.now
+        node.handover.direct_report_at = world.now
     token = _token(world)
     world.lose("handover", 1000)
     world.spawn(_give(world, leader))
@@ -417,7 +417,7 @@
     world.spawn(world.user(_short(3, tasks=3, expectedS=300.0), 8.0))
     await _until(world, 60.0, lambda: world.unheard)
     for node in world.nodes.values():
-        node.handover.direct_at = world.now
+        node.handover.direct_report_at = world.now
     world.spawn(_give(world, leader))
     await _until(world, 10.0, lambda: _leader(world) and _token(world) > token)
     assert world.unheard[0][1] == 200
@@ -494,7 +494,7 @@
         async def query(self: Any, name: str) -> tuple[int, dict[str, Any]]:
             return 422, {}
 
-        monkeypatch.setattr(Intake, "query", query)
+        monkeypatch.setattr(JobApi, "query", query)
     with pytest.raises(AssertionError) if bug else nullcontext():
         tell(lambda world: _own(world, times), 4, loss=0.0, kind=Losing)
 
@@ -511,8 +511,8 @@
     async def story(world: Any) -> None:
         await _first(world)
         old = _leader(world)
-        assert old is not None and old.intake.term is not None
-        writer = old.intake.term.writer
+        assert old is not None and old.job_api.term is not None
+        writer = old.job_api.term.writer
         before = {k: row[1] for k, row in world.store.keys.items() if k.startswith(LOG_PREFIX)}
         world.loop.freeze(old.settings.member, world.now + 8.0)
         world.spawn(world.user(_short(2), None))
@@ -546,14 +546,14 @@
     async def story(world: Any) -> None:
         await _first(world)
         leader = _leader(world)
-        assert leader is not None and leader.intake.term is not None
+        assert leader is not None and leader.job_api.term is not None
         record = {"spec": world.spec(900), "at": 1.0}
         mine = Write(JOB_PREFIX + "run-000900", 0, raw(record | {"aborted": True}))
         there = record | {"aborted": True} if aborted else record
         end = END_PREFIX + "run-000900"
         made = leader.ledger.commit({mine.key: 0, end: 0}, [{"write": mine.key, "v": there}])
         stamp = await world.within(leader.settings.member, made)
-        writer = leader.intake.term.writer
+        writer = leader.job_api.term.writer
         found = await world.within(leader.settings.member, writer._applied_at([mine]))
         assert found == (stamp if aborted else 0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -279,10 +279,10 @@
                 world.loop.call_later(at, lambda m=member: world.loop.freeze(m, world.now + 4.0))
             elif kind == "crash":
                 world.loop.call_later(at, lambda m=member: world.spawn(world.restart(m, 2.0)))
-        node.handover.direct_at = world.now  # the others' proof is what counts
+        node.handover.direct_report_at = world.now  # the others' proof is what counts
         for other in world.nodes.values():
             if other is not None:
-                other.handover.direct_at = world.now
+                other.handover.direct_report_at = world.now
         if troubled and rng.random() < 0.4:
             await asyncio.sleep(5.0)  # trouble alone
         else:
@@ -296,7 +296,7 @@
 
 async def _give(world: World, node: Node) -> bool:
     try:
-        return bool(await world.within(node.settings.member, node.handover.give(WORKERS)))
+        return bool(await world.within(node.settings.member, node.handover.transfer_lead(WORKERS)))
     except asyncio.CancelledError:
         return False
 
@@ -379,7 +379,7 @@
         old, context, epoch = node, world.contexts[member], world.epochs[member]
         world.boot(member, "elsewhere")  # beside the old one, which goes on
         await _until(world, 20.0, lambda: old.presence.aside)
-        assert not old.leadership.acting() and not old.up()
+        assert not old.leadership.acting() and not old.accepts_users()
         assert (await context.run(asyncio.create_task, old.handle("GET", "/up", b"")))[0] == 503
         await _until(world, 20.0, lambda: _leader(world))
         new = world.nodes[member]
@@ -403,7 +403,7 @@
         leader = _leader(world)
         assert leader is not None
         token, other = leader.leadership.token, next(m for m in NAMES if m in leader.views.of)
-        good: dict[str, Any] = msgspec.to_builtins(world.nodes[other].word())  # type: ignore
+        good: dict[str, Any] = msgspec.to_builtins(world.nodes[other].own_status())  # type: ignore
         rng = random.Random(1)
         bad: list[Any] = [None, 7, "x", [], {}, {"member": 3}, {"member": ""}]
         bad += [{"member": "x" * 10_000}, good | {"member": "nobody"}, good | {"seq": -1}]
@@ -579,7 +579,7 @@
         leader = _leader(world)
         assert leader is not None
         other = next(iter(leader.views.of))
-        word = world.nodes[other].word()  # type: ignore[union-attr]
+        word = world.nodes[other].own_status()  # type: ignore[union-attr]
         word.token, word.seq = leader.leadership.token + 10_000_000, word.seq + 1
         await leader.on_peer({"q": "ping", "arg": msgspec.to_builtins(word)})
         assert not leader.leadership.acting()
--- a/tests/test_netstrings.py
+++ b/tests/test_netstrings.py
@@ -5,14 +5,14 @@
 import pytest
 
 from chalkgrade import constants
-from chalkgrade.serving.netstrings import Broken, Reader, frame
+from chalkgrade.serving.netstrings import FramingError, NetstringDecoder, encode_netstring
 
 
 def test_messages_survive_any_cutting() -> None:
     rng = random.Random(7)
     messages = [{"q": "ping", "n": n, "text": "ü:," * rng.randrange(40)} for n in range(50)]
-    stream = b"".join(frame(message) for message in messages)
-    reader, got, at = Reader(), [], 0
+    stream = b"".join(encode_netstring(message) for message in messages)
+    reader, got, at = NetstringDecoder(), [], 0
     while at < len(stream):
         step = rng.randrange(1, 60)
         got += reader.feed(stream[at : at + step])
@@ -35,5 +35,5 @@
     ],
 )
 def test_broken_streams_are_refused(data: bytes) -> None:
-    with pytest.raises(Broken):
-        Reader().feed(data)
+    with pytest.raises(FramingError):
+        NetstringDecoder().feed(data)
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -11,7 +11,7 @@
 from chalkgrade.region.askers import NEEDED
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.serving.intake import Intake
+from chalkgrade.serving.job_api import JobApi
 from test_gap import _long
 from test_membership import _leader, _until
 from test_placement_rentals import spec as made
@@ -183,10 +183,10 @@
     """Their team's limit falls below one task, the team goes: repeated, they are no 422."""
     if bug:
 
-        async def told(self: Intake, name: str, answer: Any) -> Any:
+        async def told(self: JobApi, name: str, answer: Any) -> Any:
             return answer
 
-        monkeypatch.setattr(Intake, "_unless_known", told)
+        monkeypatch.setattr(JobApi, "_unless_accepted", told)
 
     async def story(world: World) -> None:
         jobs = [_long(1, 2) | {"owner": "red", "vcpus": 4.0}, _long(2, 2), _long(3, 30)]
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -123,19 +123,19 @@
         leader = _leader(world)
         assert leader is not None
         other = next(n for n in world.nodes.values() if n is not None and n is not leader)
-        reception, lead = other.reception, leader.settings.member
+        reception, lead = other.report_router, leader.settings.member
         before = other.views.of[lead].returned_at
         for seq, status in ((7, 421), (7, 421), (5, 421)):
             made = {"host": "host-900", "tenure": 2, "seq": seq, "baton": 1, "hosttype": "small"}
             raw = msgspec.json.encode(made | {"site": "a", "tasks": []})
             answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
             assert answer == (status, {"reportsTo": lead})
-        assert not reception.relayed and not reception.bounced
+        assert not reception.relayed_since and not reception.returns_at
         assert other.views.of[lead].returned_at == before
         # A newer one at once: what came before was a copy, and this is the worker itself.
         raw = raw.replace(b'"seq":5', b'"seq":8')
         answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
-        assert answer == (421, {"reportsTo": lead}) and not reception.relayed
+        assert answer == (421, {"reportsTo": lead}) and not reception.relayed_since
         assert other.views.of[lead].returned_at == before
         await asyncio.sleep(1.0)
         raw = raw.replace(b'"seq":8', b'"seq":9')
@@ -171,7 +171,7 @@
 
             await _until(world, 9.0, moved)
             assert world.now - cut_at < 14.0
-            assert not world.nodes[old].up()  # type: ignore[union-attr]
+            assert not world.nodes[old].accepts_users()  # type: ignore[union-attr]
             await asyncio.sleep(20.0)
             assert world.lease_ends == before
             if world.failure is not None:
@@ -313,7 +313,7 @@
             raise NoAnswer("too many questions")
         return await self._ledger.present([JOB_PREFIX + name, END_PREFIX + name])
 
-    patch.setattr(Lookups, "present", present)
+    patch.setattr(Lookups, "existing_job_keys", present)
 
 
 @pytest.mark.parametrize("bug", [False, True])
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -17,7 +17,7 @@
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
-from chalkgrade.serving.naming import Naming
+from chalkgrade.serving.dependency_check import DependencyCheck
 from piped import Piped
 from test_placement_rentals import spec
 
@@ -439,10 +439,10 @@
 
 
 def _no_look_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def refusal(self: Naming, names: list[str], term: Any) -> None:
+    async def refusal(self: DependencyCheck, names: list[str], term: Any) -> None:
         return None
 
-    monkeypatch.setattr(Naming, "refusal", refusal)
+    monkeypatch.setattr(DependencyCheck, "dependency_rejection", refusal)
 
 
 def _cascade_lost(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -106,7 +106,7 @@
         await asyncio.sleep(1.5)
         nodes = [node for node in world.nodes.values() if node is not None]
         while world.now < end:
-            assert all(node.up() for node in nodes)
+            assert all(node.accepts_users() for node in nodes)
             await asyncio.sleep(0.1)
         raw = msgspec.json.encode(_spec(world, 1))
         while True:
@@ -116,7 +116,7 @@
                 break
             await asyncio.sleep(0.1)
         assert world.now < end + 1.5
-        assert all(node.up() for node in nodes)
+        assert all(node.accepts_users() for node in nodes)
 
     for seed in range(3):
         tell(story, seed, loss=0.0)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -222,7 +222,9 @@
         world.loop.freeze(leader.settings.member, world.now + 60.0)
         await asyncio.sleep(1.5)
         node = others[0]
-        node.intake.failed_at[leader.settings.member] = world.now * 2  # known not to answer
+        node.job_api.request_failed_at[leader.settings.member] = (
+            world.now * 2
+        )  # known not to answer
         before = sum(node.ledger.counts.values())
         asked = [node.handle("GET", f"/v2/runs/{name}", b"") for name in names]
         answers = await asyncio.gather(*asked)
