--- a/src/chalkgrade/serving/__init__.py
+++ b/src/chalkgrade/serving/__init__.py
@@ -1,5 +1,5 @@
-"""A controller as others meet it: users, workers, peers.
+"""The interfaces of a controller: HTTP for users and workers, netstrings for other controllers.
 
-Ask `node` to answer a request, whoever carries it; `intake` holds what users may hear,
-`daemon` gives a node the real world.
+`node` answers requests without doing any input or output itself, `job_api` implements the job
+API for users, and `daemon` runs a node on real sockets and clocks.
 """
--- a/src/chalkgrade/serving/cancellation_poll.py
+++ b/src/chalkgrade/serving/cancellation_poll.py
@@ -1,11 +1,12 @@
-"""Who was told of which cancellations: by it a leader without the state service keeps on.
-
-In an outage for all nothing can be cancelled, but a leader can't tell it from a refusal that
-meets only itself. The others can: whoever tells a user that a job is cancelled notes it first.
-If every configured controller, in a process that began before the leader's last proof, lists
-what it has told since then, the leader knows every cancellation that was told until it asked
-(`state.shelter`). Whoever is down, cut off, just back or of an earlier version is silent, and
-then the shelter ends as it would have.
+"""Polls the controllers for the cancellations that they have told users.
+
+A leader that does not reach the state service can't tell an outage for all, in which nothing can
+be cancelled, from one that affects only itself. So each controller notes a cancellation before it
+tells a user of it. If every configured controller, in a process that started before the leader's
+lease was last proved, lists what it has told since then, the leader knows every cancellation that
+was told until it asked, and may renew its workers' leases for longer (`state.shelter`).
+A controller that is down, not reachable, just restarted or of an earlier version gives no list;
+then the workers are let go when they would be without the poll.
 """
 
 import asyncio
@@ -25,15 +26,16 @@
 
 
 class AnnouncedCancellations:
-    """The cancellations that this process has told users of, and when it first did."""
+    """The cancellations that this process has told users, with the time of the first telling."""
 
     def __init__(self, clock: Clock) -> None:
+        """The list is complete from now on."""
         self._clock = clock
-        self._complete_since = clock.now()  # nothing that was told since then is missing
-        self._announced_at: OrderedDict[str, float] = OrderedDict()
+        self._complete_since = clock.now()  # the list is complete from this time on
+        self._announced_at: OrderedDict[str, float] = OrderedDict()  # job -> time
 
     def note_answer(self, status: int, body: dict[str, Any]) -> None:
-        """An answer to a user, before it is sent."""
+        """Note an answer to a user before it is sent."""
         if status not in (200, 201) or body.get("status") != "withdrawn":
             return
         name = str(body.get("nameId", ""))
@@ -44,10 +46,10 @@
             _, self._complete_since = self._announced_at.popitem(last=False)
 
     def announced_within(self, ago_s: float) -> list[str] | None:
-        """All that was told in the last so many seconds; None if this process can't know all.
+        """Return the cancellations told within the last `ago_s` seconds, or None if incomplete.
 
-        Who asks counts until its question was sent; its way here, and the drift of both
-        clocks, are added.
+        The asking controller counts to the moment when it sent the request, so the time of
+        transmission and the drift of both clocks are added.
         """
         begin = self._clock.now() - ago_s * (1 + constants.CLOCK_DRIFT) - constants.TOLD_SLACK_S
         if begin <= self._complete_since:
@@ -56,7 +58,7 @@
 
 
 class CancellationPoll:
-    """Asks all others while this leader only keeps its workers, and answers their questions."""
+    """Polls the other controllers while this leader's lease is not proved, and answers polls."""
 
     def __init__(
         self,
@@ -66,6 +68,7 @@
         leadership: Leadership,
         term: Callable[[], Term | None],
     ) -> None:
+        """`others`: the other configured controllers; `term`: this node's term, while it leads."""
         self.announced = AnnouncedCancellations(clock)
         self._clock = clock
         self._peers = peers
@@ -74,7 +77,7 @@
         self._term = term
 
     async def run(self) -> None:
-        """Ask again and again, for ever."""
+        """Poll periodically while this leader can't prove its lease but still has worker leases."""
         while True:
             await asyncio.sleep(constants.TESTIMONY_EVERY_S)
             term = self._term()
@@ -89,9 +92,9 @@
         shelter = self._leadership.shelter
         asked_at = self._clock.now()
         ago_s = asked_at - shelter.known_until
-        question = {"q": "told", "arg": ago_s}
+        request = {"q": "told", "arg": ago_s}
         answers = await asyncio.gather(
-            *(self._peers.ask(m, question, constants.PEER_TIMEOUT_S) for m in self._others),
+            *(self._peers.ask(m, request, constants.PEER_TIMEOUT_S) for m in self._others),
             return_exceptions=True,
         )
         lists = [
@@ -100,15 +103,15 @@
         ]
         if self._term() is not term:
             return
-        # First what was told, then the knowledge: never the other way round.
+        # Apply the cancellations before the leader counts as knowing them all.
         term.believe({name for names in lists for name in names or ()})
         if all(names is not None for names in lists):
             shelter.vouched(asked_at)
-            log.debug("all controllers tell whom they told: workers are kept on")
+            log.debug("cancellation lists complete: worker leases are renewed for longer")
 
     @staticmethod
     def _listed_jobs(answer: dict[str, Any] | BaseException) -> list[str] | None:
-        """What one of them lists; None if it does not know all."""
+        """Return the jobs that one controller lists, or None if its list is not complete."""
         if isinstance(answer, NoAnswer):
             return None
         if isinstance(answer, BaseException):
@@ -120,7 +123,7 @@
         return found if answer.get("status") == 200 else None
 
     def answer_poll(self, ago_s: Any) -> dict[str, Any]:
-        """Answer another controller."""
+        """Answer another controller's poll."""
         if isinstance(ago_s, bool) or not isinstance(ago_s, int | float) or not ago_s >= 0:
             return {"status": 400, "body": {"error": "seconds are needed"}}
         names = self.announced.announced_within(float(ago_s))
--- a/src/chalkgrade/serving/client.py
+++ b/src/chalkgrade/serving/client.py
@@ -1,4 +1,4 @@
-"""Requests to the state service and the cloud, through one aiohttp session."""
+"""HTTP client for the state service and the cloud."""
 
 import asyncio
 
@@ -8,9 +8,10 @@
 
 
 class HttpClient:
-    """Requests through one aiohttp session."""
+    """Sends requests through one shared aiohttp session."""
 
     def __init__(self) -> None:
+        """Create the session; needs a running event loop."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30, use_dns_cache=False),
             auto_decompress=False,
@@ -18,11 +19,16 @@
         )
 
     async def close(self) -> None:
+        """Close the session and its connections."""
         await self._session.close()
 
     async def call(
         self, addr: str, method: str, path: str, body: bytes | None, timeout: float
     ) -> Reply:
+        """Send one request to `addr` (host:port); `timeout` in seconds covers the whole exchange.
+
+        Raises NoAnswer when the connection fails or no complete response arrives in time.
+        """
         try:
             async with (
                 asyncio.timeout(timeout),
--- a/src/chalkgrade/serving/connection_guard.py
+++ b/src/chalkgrade/serving/connection_guard.py
@@ -1,11 +1,12 @@
-"""Which connections may stay: sockets are kept free for those who finish their requests.
-
-Pure: the daemon tells what happens on a connection and passes in how to close it.
-A connection is *unfinished* from its first byte (a new one: from the start) until
-its request is whole, *busy* while that is answered, else *idle*. What it is for is
-known only from a whole request; what matters less gives way first. Controllers talk
-on another port, and what they need is left aside from the start. All bounds follow
-from the sockets that the platform allows: a fleet of any size is to fit.
+"""Limits on open connections: decides which ones to close when sockets run short.
+
+Does no input or output: the server reports the events of a connection and passes in a function
+that closes one. A connection is *unfinished* from the first byte of a request (a new one: from
+its opening) until the request is complete, *busy* while the request is answered, and *idle*
+otherwise. Its purpose is known only from a complete request; the least important kind is closed
+first. Controllers use another port, and the sockets that they and the outgoing requests need
+are reserved. All limits are shares of the sockets that the platform allows, so that they suit
+any number of workers.
 """
 
 from collections.abc import Callable, Hashable
@@ -20,23 +21,25 @@
 
 
 class ConnectionState(Enum):
+    """What a connection is doing."""
+
     UNFINISHED = "unfinished"
     BUSY = "busy"
     IDLE = "idle"
 
 
 class RequestKind(IntEnum):
-    """What a connection's last whole request was; what gives way first is the least."""
+    """The kind of a connection's last complete request, the least important first."""
 
-    UNKNOWN = 0  # none yet
+    UNKNOWN = 0  # no complete request yet
     SUBMISSION = 1
     QUERY = 2
-    HEALTH = 3  # health checks, and the operators' figures
+    HEALTH = 3  # health checks and metrics
     ABORT = 4
     REPORT = 5
 
 
-# How many of users' requests are answered at once before one of a kind is refused.
+# How many user requests may be in progress before one of this kind is refused.
 BUSY_USER_REQUESTS_MAX = {
     RequestKind.SUBMISSION: constants.USERS_BUSY_MAX,
     RequestKind.QUERY: int(1.25 * constants.USERS_BUSY_MAX),
@@ -46,49 +49,53 @@
 
 @dataclass
 class _Entry:
-    since: float  # when it came into its state
+    """A connection: when it entered its state, and what it is used for."""
+
+    since: float  # monotonic time, s
     kind: RequestKind = RequestKind.UNKNOWN
 
 
 class ConnectionGuard(Generic[K]):
-    """The open connections of one server. `close(key)` must end in `closed(key)`."""
+    """The open connections of one server; `close(key)` must lead to `connection_closed(key)`."""
 
     def __init__(self, clock: Clock, close: Callable[[K], None], sockets: int) -> None:
-        """`sockets`: how many the whole process may have."""
+        """`sockets`: how many the platform allows the whole process."""
         self._clock = clock
         self._close = close
-        self.connections_max = int(
-            sockets * (1 - constants.SOCKETS_OUT)
-        )  # connections that may be open
+        self.connections_max = int(sockets * (1 - constants.SOCKETS_OUT))
         self.unfinished_max = int(self.connections_max * constants.UNFINISHED_PART)
         self.idle_users_max = int(self.connections_max * constants.IDLE_USERS_PART)
-        # By state, the oldest first: an entry moves to the end when its state changes.
+        # Connections by state, the oldest first: one moves to the end when its state changes.
         self._entries: dict[ConnectionState, dict[K, _Entry]] = {
             state: {} for state in ConnectionState
         }
         self._states: dict[K, ConnectionState] = {}
-        # How many there are of each state and use.
+        # Number of connections by state and kind.
         self._kind_counts = {state: dict.fromkeys(RequestKind, 0) for state in ConnectionState}
         self.counts = {"late": 0, "crowded": 0, "idle": 0, "ended": 0, "refused": 0, "full": 0}
 
     def __len__(self) -> int:
+        """Return the number of open connections."""
         return len(self._states)
 
     def count(self, state: ConnectionState) -> int:
+        """Return the number of connections in a state."""
         return len(self._entries[state])
 
     def _user_connections(self, state: ConnectionState) -> int:
-        uses = self._kind_counts[state]
-        return uses[RequestKind.SUBMISSION] + uses[RequestKind.QUERY] + uses[RequestKind.ABORT]
+        counts = self._kind_counts[state]
+        return (
+            counts[RequestKind.SUBMISSION] + counts[RequestKind.QUERY] + counts[RequestKind.ABORT]
+        )
 
     def is_crowded(self) -> bool:
-        """Whether connections are to be closed once they are answered: few are left."""
+        """Return whether few sockets are left, so that connections close after an answer."""
         return len(self) > constants.CROWDED_PART * self.connections_max
 
-    def _set_state(self, key: K, state: ConnectionState, use: RequestKind | None = None) -> None:
+    def _set_state(self, key: K, state: ConnectionState, kind: RequestKind | None = None) -> None:
         entry = self._remove(key) or _Entry(0.0)
         entry.since = self._clock.now()
-        entry.kind = entry.kind if use is None else use
+        entry.kind = entry.kind if kind is None else kind
         self._states[key] = state
         self._entries[state][key] = entry
         self._kind_counts[state][entry.kind] += 1
@@ -102,16 +109,18 @@
         return entry
 
     def connection_opened(self, key: K) -> None:
-        """A connection was accepted; if it is one too many, the one that matters least goes."""
+        """Register an accepted connection; beyond the limit the least important one is closed."""
         self._begin_request(key)
         if len(self) > self.connections_max:
             self._evict(self._eviction_candidate(key), "full")
 
     def _eviction_candidate(self, new: K) -> K:
-        """What gives way: who does not finish, users that ask nothing, a crowd of unknown ones.
+        """Return the connection to close, the first that exists of the following.
 
-        Workers' connections come after these, though nothing is asked on them now; and
-        what is being answered is worth more than a new one.
+        An unfinished one that is no longer new; the oldest unfinished one, if no user's
+        connection is idle and many are unfinished; an idle one of the least important kind,
+        so that idle workers come after idle users; otherwise the new one, since a request that
+        is being answered matters more.
         """
         unfinished, idle = (
             self._entries[ConnectionState.UNFINISHED],
@@ -123,13 +132,13 @@
         users = self._user_connections(ConnectionState.IDLE)
         if not users and len(unfinished) > constants.UNFINISHED_KEPT:
             return oldest
-        for use, count in self._kind_counts[ConnectionState.IDLE].items():
+        for kind, count in self._kind_counts[ConnectionState.IDLE].items():
             if count:
-                return next(key for key, entry in idle.items() if entry.kind is use)
+                return next(key for key, entry in idle.items() if entry.kind is kind)
         return new
 
     def data_received(self, key: K) -> None:
-        """Bytes came: on an idle connection a new request begins."""
+        """Bytes were received: on an idle connection a new request begins."""
         if self._states.get(key) is ConnectionState.IDLE:
             self._begin_request(key)
 
@@ -139,24 +148,25 @@
         if len(unfinished) > self.unfinished_max:
             self._evict(next(iter(unfinished)), "crowded")
 
-    def request_received(self, key: K, use: RequestKind) -> bool:
-        """A whole request is there; False: too many of users' are being answered, refuse it.
+    def request_received(self, key: K, kind: RequestKind) -> bool:
+        """A complete request was received; False if it has to be refused.
 
-        Submissions are refused first, then questions, aborts last; nothing else ever is.
+        User requests are refused when too many are in progress: submissions first, then
+        queries, aborts last. Requests of other kinds are never refused.
         """
         if key not in self._states:
             return False
-        self._set_state(key, ConnectionState.BUSY, use)
+        self._set_state(key, ConnectionState.BUSY, kind)
         if (
-            use in BUSY_USER_REQUESTS_MAX
-            and self._user_connections(ConnectionState.BUSY) > BUSY_USER_REQUESTS_MAX[use]
+            kind in BUSY_USER_REQUESTS_MAX
+            and self._user_connections(ConnectionState.BUSY) > BUSY_USER_REQUESTS_MAX[kind]
         ):
             self.counts["refused"] += 1
             return False
         return True
 
     def request_answered(self, key: K) -> None:
-        """Its request was answered."""
+        """The connection's request was answered."""
         if key not in self._states:
             return
         self._set_state(key, ConnectionState.IDLE)
@@ -168,40 +178,39 @@
             )
 
     def connection_closed(self, key: K) -> None:
-        """The connection is gone, whoever ended it."""
+        """The connection was closed, by either side."""
         self._remove(key)
 
     def request_interrupted(self) -> None:
-        """The other side ended a connection within its request."""
+        """The other side closed a connection before its request was complete."""
         self.counts["ended"] += 1
 
-    def _evict(self, key: K, why: str) -> None:
-        self.counts[why] += 1
+    def _evict(self, key: K, reason: str) -> None:
+        self.counts[reason] += 1
         self.connection_closed(key)
         self._close(key)
 
     def sweep(self) -> None:
-        """End what takes too long, and what is too many and not new.
+        """Close unfinished connections that take too long, and those that are too many and not new.
 
-        After a silence of our own, whole requests may lie unread: users and
-        workers have given up on theirs before `REQUEST_S` is over, so that ending
-        older ones harms nobody.
+        After a stall of this process, complete requests may be waiting unread. Users and workers
+        give up on a request before `REQUEST_S` is over, so closing older ones loses nothing.
         """
         now = self._clock.now()
         unfinished = self._entries[ConnectionState.UNFINISHED]
-        over = len(unfinished) - constants.UNFINISHED_KEPT
+        excess = len(unfinished) - constants.UNFINISHED_KEPT
         for key, entry in list(unfinished.items()):
             age = now - entry.since
             if age > constants.REQUEST_S:
                 self._evict(key, "late")
-            elif over > 0 and age > constants.UNFINISHED_NEW_S:
+            elif excess > 0 and age > constants.UNFINISHED_NEW_S:
                 self._evict(key, "crowded")
             else:
                 break
-            over -= 1
+            excess -= 1
 
     def drain_counts(self) -> dict[str, int]:
-        """What was ended or refused since the last call, by reason."""
-        out = {why: count for why, count in self.counts.items() if count}
+        """Return how many were closed or refused since the last call, by reason, and reset."""
+        drained = {reason: count for reason, count in self.counts.items() if count}
         self.counts = dict.fromkeys(self.counts, 0)
-        return out
+        return drained
--- a/src/chalkgrade/serving/daemon.py
+++ b/src/chalkgrade/serving/daemon.py
@@ -1,4 +1,4 @@
-"""One controller as a process: the real clocks, sockets and loop for a node."""
+"""Runs one controller as a process: real clocks, sockets and event loop for a node."""
 
 import asyncio
 import contextlib
@@ -21,21 +21,24 @@
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def now(self) -> float:
+        """Return monotonic time, s."""
         return time.monotonic()
 
     def wall(self) -> float:
+        """Return the time since the epoch, s."""
         return time.time()
 
 
 def process_identity(settings: Settings) -> str:
-    """What only one living process can hold: this kernel's run, its network, our addresses.
+    """Return an identifier that only one running process can have at a time.
 
-    The kernel lets no second process listen on an address. Where it does not tell its run
-    or network (a platform that hides them) the addresses alone count: there the platform
-    itself promises one process at a time for each.
+    It consists of the listening addresses, the kernel's boot id and the network namespace: the
+    kernel lets no second process listen on the same address. On a platform that hides the boot
+    id or the namespace the addresses alone are used; such a platform itself guarantees that one
+    process at a time uses them.
     """
     parts = [settings.bind, settings.cluster_listen]
     with contextlib.suppress(OSError):
@@ -45,11 +48,13 @@
 
 
 class Daemon:
-    """A node on real sockets, from `start` to `stop`."""
+    """Connects a node to real sockets between `start` and `stop`."""
 
     def __init__(self, settings: Settings) -> None:
+        """Create the node, its HTTP client, peer connections and server."""
         self.settings = settings
-        # Not of the clock: two starts may read the same time, and must not draw the same marks.
+        # Not seeded from the clock: two processes started at the same time must not draw the
+        # same random identifiers.
         rng = random.Random(os.urandom(32))
         self.http = HttpClient()
         self.links = PeerLinks(settings.others)
@@ -61,7 +66,7 @@
         self._guard_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen and begin; OSError when an address can't be had."""
+        """Listen and start the node; raises OSError when an address is not available."""
         loop = asyncio.get_running_loop()
         settings = self.settings
         host, port = split_addr(settings.cluster_listen, "cluster_listen")
@@ -70,22 +75,25 @@
         )
         self._listeners.append(peers)
         host, port = split_addr(settings.bind, "bind")
-        sockets = settings.cluster.quota.sockets  # a fleet comes back at once
+        sockets = settings.cluster.quota.sockets  # all workers may reconnect at once
         users = await loop.create_server(
             self.server, host, port, reuse_address=True, backlog=sockets
         )
         self._listeners.append(users)
         log.info(
-            "%s serves on %s, peers on %s", settings.member, settings.bind, settings.cluster_listen
+            "listening: %s serves HTTP on %s, controllers on %s",
+            settings.member,
+            settings.bind,
+            settings.cluster_listen,
         )
         self._guard_task = asyncio.create_task(self.server.watch_connections())
         self.node.start()
 
     async def stop(self) -> None:
-        """End all that `start` began. Others take over as after a crash."""
+        """Stop everything that `start` started; other controllers take over as after a crash."""
         self.node.stop()
-        for listening in self._listeners:
-            listening.close()
+        for listener in self._listeners:
+            listener.close()
         if self._guard_task is not None:
             self._guard_task.cancel()
         await self.server.close()
@@ -94,17 +102,17 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Run a controller for ever."""
+    """Run a controller until the process ends."""
     await Daemon(settings).start()
-    gc.freeze()  # what the start made lives for ever: never walk it again
+    gc.freeze()  # objects made at start live as long as the process: exclude them from collections
     gc.enable()
     await asyncio.Event().wait()
 
 
 def run(settings: Settings) -> None:
-    """Entry point of the daemon."""
+    """Run the daemon; exits with status 1 when it can't listen."""
     try:
         uvloop.run(serve(settings))
     except OSError as error:
-        log.error("can't listen: %s", error)
+        log.error("listening failed: %s", error)
         raise SystemExit(1) from None
--- a/src/chalkgrade/serving/dependency_check.py
+++ b/src/chalkgrade/serving/dependency_check.py
@@ -1,7 +1,7 @@
-"""The jobs that a submission names: whether they were ever accepted, by anybody.
+"""Checks the jobs that a submission depends on: whether they were ever accepted.
 
-Answered from what can't change (final states), from the leader's book while it surely leads,
-and else from reads that began after the question came.
+The sources are final states, which never change; the leader's job book while its lease is
+valid; and otherwise reads of the state service that start after the request arrived.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -16,13 +16,12 @@
 SERVICE_SHAPE = "service"
 
 
-ReadUnfinishedJobs = Callable[
-    [], Awaitable[Mapping[str, RecordSummary]]
-]  # all jobs not over, read after the call
+# Returns all unfinished jobs, by a read that starts after the call.
+ReadUnfinishedJobs = Callable[[], Awaitable[Mapping[str, RecordSummary]]]
 
 
 class DependencyCheck:
-    """One node's answers about jobs that others name."""
+    """Checks dependencies on behalf of one node."""
 
     def __init__(
         self,
@@ -31,16 +30,18 @@
         records: ReadUnfinishedJobs,
         tell: Callable[[str], Awaitable[Answer]],
     ) -> None:
+        """`tell` returns a job's status as users get it."""
         self.ledger = ledger
-        self.final_states = finals  # final states that are known here
+        self.final_states = finals  # job -> final state, as far as this node knows
         self.read_unfinished_jobs = records
-        self.job_status = tell  # a job's state, as users hear it
+        self.job_status = tell
 
     async def dependency_rejection(self, names: list[str], term: Term | None) -> str | None:
-        """Why these can't be waited for, or None; NoAnswer where that can't be known now.
+        """Return why a submission can't wait for these jobs, or None.
 
-        Who surely leads knows all jobs that are not over but those that another node has just
-        accepted under a key of their own: so its book comes before the read.
+        Raises NoAnswer when that can't be determined now. A leader with a valid lease knows all
+        unfinished jobs except those that another node has just accepted under a key of their
+        own; so its book is used first and the read finds the others.
         """
         if term is not None and term.live():
             jobs = term.jobs
@@ -51,21 +52,21 @@
                 if admission is None or name in known:
                     continue
                 if (await self.job_status(name))[0] != 200:
-                    raise NoAnswer("one of them is being accepted")
+                    raise NoAnswer("a job in waitsOn is still being accepted")
                 shapes[name] = admission.value.spec.shape
             known |= shapes.keys()
         else:
-            marks = await self.read_unfinished_jobs()
-            shapes = {name: marks[name].spec.shape for name in names if name in marks}
+            unfinished = await self.read_unfinished_jobs()
+            shapes = {name: unfinished[name].spec.shape for name in names if name in unfinished}
             known = shapes.keys() | set[str]()
         for name, shape in shapes.items():
             if shape == SERVICE_SHAPE:
                 return f"waitsOn: {name} is a service, which is never done"
-        rest = [name for name in names if name not in known and name not in self.final_states]
-        # A job that is not over turns into its end atomically: both are looked at at once.
-        keys = [prefix + name for name in rest for prefix in (JOB_PREFIX, END_PREFIX)]
+        unresolved = [name for name in names if name not in known and name not in self.final_states]
+        # One commit replaces a job's record by its final state: both keys are read together.
+        keys = [prefix + name for name in unresolved for prefix in (JOB_PREFIX, END_PREFIX)]
         found = await self.ledger.present(keys)
-        for name in rest:
+        for name in unresolved:
             if JOB_PREFIX + name not in found and END_PREFIX + name not in found:
                 return f"waitsOn: {name} was never accepted"
         return None
--- a/src/chalkgrade/serving/handover.py
+++ b/src/chalkgrade/serving/handover.py
@@ -1,7 +1,8 @@
-"""Planned handover: a leader that lives but does not serve gives the lead away.
+"""Planned handover: a leader that runs but can't serve transfers the lead.
 
-Only to somebody that is surely better by a proof it gives just then, and not to and fro
-(`membership.fitness`). One commit moves the key (`Leadership.hand_over`).
+The successor has to prove, at the time of the handover, that it reaches what the leader does
+not. Pauses between attempts keep the lead from moving back and forth (`membership.fitness`).
+A single commit transfers the leader key (`Leadership.hand_over`).
 """
 
 import asyncio
@@ -24,16 +25,16 @@
 
 
 class SuccessorOffer(msgspec.Struct):
-    """A successor's answer: its lease, and the mark by which it knows the key for its own."""
+    """A successor's answer: its lease, and the nonce that marks the leader key as its own."""
 
-    permit: int
+    permit: int  # the lease in the state service
     nonce: str
-    lease_s: float
-    home: str = ""
+    lease_s: float  # duration of that lease, s
+    home: str = ""  # see `LeaderValue`
 
 
 class Handover:
-    """Both sides: the leader that gives, and the controller that takes."""
+    """Both sides of a handover: the leader that transfers and the controller that takes over."""
 
     def __init__(
         self,
@@ -45,18 +46,19 @@
         report_s: float,
         machines: Callable[[], int],
     ) -> None:
+        """`report_s`: the workers' report interval; `machines`: counts those known to be up."""
         self.clock = clock
         self.peers = peers
         self.views = views
         self.leadership = leadership
         self.cloud = cloud
-        self.reporting_machine_count = machines  # that the leader knows to be up
+        self.reporting_machine_count = machines
         self.fitness = Fitness(clock, report_s)
-        self.direct_report_at = -1e9  # when a worker's own report last reached us
-        self.counts: dict[str, int] = {}
+        self.direct_report_at = -1e9  # when a worker last reported to this controller directly
+        self.counts: dict[str, int] = {}  # handovers by outcome: given, failed
 
     async def run(self) -> None:
-        """Look at ourselves once in a while, if we lead."""
+        """While leading, check periodically whether the lead should be transferred."""
         while True:
             await asyncio.sleep(constants.FITNESS_EVERY_S)
             if not self.leadership.acting():
@@ -72,7 +74,7 @@
                 await self.transfer_lead(why)
 
     async def transfer_lead(self, why: str) -> bool:
-        """Look for somebody better and hand over; whether the key was moved."""
+        """Try to transfer the lead to a willing candidate; True if the key was transferred."""
         moved = False
         for member in self.candidates()[: constants.HANDOVER_ASKED]:
             try:
@@ -82,11 +84,13 @@
                     continue
                 ready = msgspec.convert(reply.get("body"), SuccessorOffer)
             except (NoAnswer, msgspec.ValidationError) as error:
-                log.debug("%s can't succeed: %s", member, error)
+                log.debug("handover refused: %s can't take over: %s", member, error)
                 continue
             if not self.leadership.acting():
                 break
-            log.warning("handing the lead to %s: we reach no %s", member, why)
+            log.warning(
+                "transferring the lead to %s: this leader does not reach the %s", member, why
+            )
             moved = await self.leadership.hand_over(member, *msgspec.structs.astuple(ready))
             self.counts["given" if moved else "failed"] = (
                 self.counts.get("given" if moved else "failed", 0) + 1
@@ -96,24 +100,28 @@
         return moved
 
     def candidates(self) -> list[str]:
-        """Who would lead next, the best placed first."""
-        words = [w for w in self.views.fresh() if self.views.state(w.member) == ALIVE]
-        words = [word for word in words if not word.aside]
-        return [word.member for word in sorted(words, key=placed)]
+        """Return the controllers that could lead next, the most suitable first."""
+        statuses = [s for s in self.views.fresh() if self.views.state(s.member) == ALIVE]
+        statuses = [status for status in statuses if not status.aside]
+        return [status.member for status in sorted(statuses, key=placed)]
 
     async def answer_takeover_request(self, why: Any) -> dict[str, Any]:
-        """Asked to take over: prove that we reach what the leader does not, and get ready."""
-        later = {"status": 503, "body": {}}
+        """Answer a leader that asks this controller to take over.
+
+        `why` names what the leader does not reach. The answer is a SuccessorOffer if this
+        controller reaches it, otherwise status 503.
+        """
+        refusal = {"status": 503, "body": {}}
         if not self.leadership.able() or self.leadership.token:
-            return later
+            return refusal
         try:
             if why == CLOUD:
                 async with asyncio.timeout(constants.SUCCEED_S / 2):
                     await self.cloud.flavors()
             elif why != WORKERS or self.clock.now() - self.direct_report_at > constants.UNFIT_S:
-                return later
+                return refusal
             offer = await self.leadership.offer()
         except (NoAnswer, NotExecuted, Rejected, TimeoutError):
-            return later
+            return refusal
         ready = SuccessorOffer(offer.permit, offer.nonce, offer.lease_s, self.leadership.home)
         return {"status": 200, "body": msgspec.to_builtins(ready)}
--- a/src/chalkgrade/serving/job_status.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -1,14 +1,15 @@
-"""Whether an answer about a job may be given: asked by whatever a user is told.
+"""Determines the status of a job that may be told to a user.
 
-What may be durable counts as told. So an answer is never taken from what was true once, but
-from one of these, each of them begun after the question came:
+No answer may be older than one that any user has had from any controller, and a change that may
+be durable counts as told already. So every answer comes from one of these sources, each of them
+used after the request arrived:
 - a final state, which never changes;
-- the leader's book, while it surely leads (`Term.account`). Where a commit that would change
-  the answer is open, its keys are read: executed, others may have told what it says; not
-  executed by then, nobody can have, and the book is right;
-- a read of the record (`reading`).
-Where none can be had the user is to come back (503). That an answer was under way for long
-makes it no older than its question; but what is known to be final by then is said instead.
+- the leader's job book, while its lease is valid (`Term.account`). If a commit that would change
+  the answer is in progress, the keys that it writes are read: if it was executed, other
+  controllers may have told its result; if not, nobody can have and the book is right;
+- a read of the job records (`record_reader`).
+If none is available the user has to retry (503). An answer that was on its way for long is no
+older than its request; but if the job is known to be finished by then, that is sent instead.
 """
 
 import asyncio
@@ -23,31 +24,32 @@
 from chalkgrade.serving.record_reader import RETRY_LATER, Answer, RecordReader
 from chalkgrade.state.ledger import NotExecuted, Rejected
 
-COMMITS_OPEN = 409  # between controllers: an `Account` whose open commits are to be looked at first
+COMMITS_OPEN = 409  # between controllers: an `Account` with open commits, which are to be read
 FINAL_STATUSES = ("done", "withdrawn")
 
-AskLeader = Callable[[str], Awaitable[Answer]]  # what the leader says, wherever it is
+AskLeader = Callable[[str], Awaitable[Answer]]  # returns the leader's answer
 
 
 class StatusResolver:
-    """One node's."""
+    """Resolves job statuses on behalf of one node."""
 
     def __init__(
         self, reading: RecordReader, finals: Mapping[str, dict[str, Any]], leader: AskLeader
     ) -> None:
+        """`finals`: job -> final state, as far as this node knows."""
         self.record_reader = reading
         self.final_states = finals
         self.ask_leader = leader
 
     async def job_status(self, name: str) -> Answer:
-        """A job's state."""
+        """Return a job's status."""
         known = self.final_states.get(name)
         if known is not None:
             return 200, known
         return self.prefer_final_state(await self.resolve_answer(name, await self.ask_leader(name)))
 
     async def resolve_answer(self, name: str, said: Answer) -> Answer:
-        """What may be told, given what the leader said just now; 404: its book lacks the job."""
+        """Complete the leader's answer `said`; 404 means that its book does not have the job."""
         status, body = said
         if status == 200:
             return said
@@ -65,7 +67,7 @@
             return RETRY_LATER
 
     def prefer_final_state(self, answer: Answer) -> Answer:
-        """An answer as it leaves: what has become final since it was made is said instead."""
+        """Replace an answer by the job's final state, if that became known meanwhile."""
         status, body = answer
         known = self.final_states.get(str(body.get("nameId", "")))
         return answer if known is None else (status, known)
--- a/src/chalkgrade/serving/metrics.py
+++ b/src/chalkgrade/serving/metrics.py
@@ -1,10 +1,10 @@
-"""The page for Prometheus."""
+"""The metrics page in the Prometheus text format."""
 
 from chalkgrade.serving.node import Node
 
 
 def render_metrics(node: Node) -> bytes:
-    """The Prometheus page; its library is loaded at the first scrape, not at the start."""
+    """Render a node's samples; prometheus_client is imported at the first scrape, not at start."""
     from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
 
     registry = CollectorRegistry()
--- a/src/chalkgrade/serving/netstrings.py
+++ b/src/chalkgrade/serving/netstrings.py
@@ -1,4 +1,4 @@
-"""Netstrings of JSON: the framing between controllers. Pure."""
+"""Framing between controllers: JSON objects in netstrings. Does no input or output."""
 
 from typing import Any
 
@@ -11,22 +11,23 @@
 
 
 class FramingError(Exception):
-    """Not a netstring of a JSON object: the connection can't be trusted further."""
+    """The stream is not netstrings of JSON objects; the connection has to be closed."""
 
 
 def encode_netstring(message: Any) -> bytes:
+    """Encode a message as JSON within a netstring."""
     payload = encode(message)
     return b"%d:%b," % (len(payload), payload)
 
 
 class NetstringDecoder:
-    """Cuts a stream into messages."""
+    """Incremental decoder: splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """All messages completed by `data`; Broken on anything else."""
+        """Return the messages that `data` completes; FramingError if the stream is invalid."""
         self._buffer += data
         out: list[dict[str, Any]] = []
         while True:
@@ -35,21 +36,21 @@
                 if len(self._buffer) > DIGITS_MAX or not (
                     self._buffer == b"" or self._buffer.isdigit()
                 ):
-                    raise FramingError("no length")
+                    raise FramingError("length prefix is missing or too long")
                 return out
             digits = bytes(self._buffer[:colon])
             if not digits.isdigit() or (len(digits) > 1 and digits[0] == ord("0")):
-                raise FramingError("bad length")
+                raise FramingError("length prefix is not a plain decimal number")
             size = int(digits)
             if size > constants.NETSTRING_MAX:
-                raise FramingError("too long")
+                raise FramingError("message exceeds the size limit")
             end = colon + 1 + size
             if len(self._buffer) <= end:
                 return out
             if self._buffer[end] != ord(","):
-                raise FramingError("no comma")
+                raise FramingError("message is not followed by a comma")
             try:
                 out.append(msgspec.json.decode(self._buffer[colon + 1 : end], type=dict))
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
-                raise FramingError(f"not a JSON object: {error}") from None
+                raise FramingError(f"message is not a JSON object: {error}") from None
             del self._buffer[: end + 1]
--- a/src/chalkgrade/serving/record_reader.py
+++ b/src/chalkgrade/serving/record_reader.py
@@ -1,7 +1,8 @@
-"""What the state service says of jobs, for users who ask a controller that can't ask the leader.
+"""Reads the status of jobs from the state service, for when the leader can't be asked.
 
-A job that is not over turns into its final key atomically, and one that is cancelled with
-others says so only by their records: so all records are read, once for all who ask meanwhile.
+One commit replaces the record of an unfinished job by its final state. A job that is cancelled
+because a dependency was cancelled shows that only in the dependency's record. So all records are
+read, in one scan for all requests that arrive in the meantime.
 """
 
 import asyncio
@@ -17,44 +18,47 @@
 from chalkgrade.serving.lookups import Lookups
 from chalkgrade.state.ledger import Ledger, Row
 
-Answer = tuple[int, dict[str, Any]]
+Answer = tuple[int, dict[str, Any]]  # HTTP status and body
 RETRY_LATER: Answer = (503, {"error": "can't be decided now, come back"})
 UNKNOWN_JOB: Answer = (404, {"error": "no such job"})
 
 
 class _SpecSummary(msgspec.Struct):
+    """The part of a job's specification that queries need."""
+
     nameId: str
     shape: str = ""
     waitsOn: list[str] | None = None
 
 
 class RecordSummary(msgspec.Struct):
-    """As much of a job's record as questions need."""
+    """The part of a job's record that queries need."""
 
     spec: _SpecSummary
     aborted: bool = False
-    apart: tuple[str, int] | None = None
-    doubtful: bool = False  # it may be over all the same: its end says so
+    apart: tuple[str, int] | None = None  # where `waitsOn` is stored, if under a key of its own
+    doubtful: bool = False  # the job may have finished: its final key decides
 
     @property
     def has_dependencies(self) -> bool:
+        """Return whether the job waits for other jobs."""
         return self.spec.waitsOn is not None or self.apart is not None
 
 
 class BatchSummary(msgspec.Struct):
-    """As much of a batch."""
+    """The part of a batch record that queries need."""
 
     jobs: list[RecordSummary]
 
 
 class RememberFinalState(Protocol):
-    """Keeps a final state, which never changes, and gives the answer that tells it."""
+    """Stores a final state, which never changes, and returns the answer for it."""
 
     def __call__(self, name: str, status: str, done: int) -> dict[str, Any]: ...
 
 
 class RecordReader:
-    """One node's reads of the record."""
+    """Reads job records on behalf of one node."""
 
     def __init__(
         self,
@@ -64,30 +68,29 @@
         counts: Mapping[str, dict[str, Any]],
     ) -> None:
         self.ledger = ledger
-        self.final_states = finals  # final states that are known here
+        self.final_states = finals  # job -> final state, as far as this node knows
         self.remember_final_state = remember
-        self.last_leader_answers = counts  # what the leader last said of jobs
+        self.last_leader_answers = counts  # job -> the leader's last answer
         self.lookups = Lookups(ledger)
         self.current_scan: asyncio.Task[dict[str, RecordSummary]] | None = None
         self.next_scan: asyncio.Task[dict[str, RecordSummary]] | None = None
-        self._pending_reads: dict[
-            str, asyncio.Task[Row | None]
-        ] = {}  # reads that have yet to begin
+        # Reads that have not started yet, by key.
+        self._pending_reads: dict[str, asyncio.Task[Row | None]] = {}
 
     async def read_status(self, name: str, absent_at_leader: bool) -> Answer:
-        """A fresh read: the end last, since what is looked at before turns into it atomically.
+        """Read a job's status; `absent_at_leader`: the leader answered that its book lacks the job.
 
-        The leader alone writes batches, so that what it did not know is in none
-        that was there before it was asked. Without it, all records are read, once
-        for all who ask meanwhile. A job can have two records: a repeated
-        submission that could not reach the leader makes a second one. Either may
-        say that the job was aborted.
+        The final key is read last, because one commit replaces the other records by it. Only the
+        leader writes batches, so a job that it does not know is in no batch that existed before
+        it was asked. Without the leader all records are read, in one scan for all requests that
+        arrive in the meantime. A job can have two records: a repeated submission that did not
+        reach the leader creates a second one. Either may say that the job was aborted.
         """
         if not absent_at_leader:
-            marks = await self.read_unfinished_jobs()
-            mark = marks.get(name)
-            if mark is not None and (mark.aborted or not mark.doubtful):
-                return 200, await self._unfinished_job_answer(mark, marks)
+            records = await self.read_unfinished_jobs()
+            record = records.get(name)
+            if record is not None and (record.aborted or not record.doubtful):
+                return 200, await self._unfinished_job_answer(record, records)
         found = await self.lookups.existing_job_keys(name)
         if END_PREFIX + name in found:
             row = await self.ledger.get(END_PREFIX + name)
@@ -95,47 +98,46 @@
                 return RETRY_LATER
             end = msgspec.json.decode(row.v, type=EndValue)
             return 200, self.remember_final_state(name, end.status, end.tasks)
-        if not absent_at_leader and mark is not None:
-            return 200, await self._unfinished_job_answer(
-                mark, marks
-            )  # not over: its batch is right
+        if not absent_at_leader and record is not None:
+            # No final key: the job is unfinished and its batch is up to date.
+            return 200, await self._unfinished_job_answer(record, records)
         if not found:
             return UNKNOWN_JOB
         row = await self.ledger.get(JOB_PREFIX + name)
         if row is None:
-            return RETRY_LATER  # over since a moment ago: the next read finds its end
-        mark = msgspec.json.decode(row.v, type=RecordSummary)
-        if mark.has_dependencies and absent_at_leader:
-            return await self.read_status(
-                name, absent_at_leader=False
-            )  # all records are needed to know of it
-        return 200, await self._unfinished_job_answer(mark, {name: mark})
+            return RETRY_LATER  # finished during the reads: a retry finds the final key
+        record = msgspec.json.decode(row.v, type=RecordSummary)
+        if record.has_dependencies and absent_at_leader:
+            # Whether a dependency was cancelled shows only in all records.
+            return await self.read_status(name, absent_at_leader=False)
+        return 200, await self._unfinished_job_answer(record, {name: record})
 
     async def read_open_commits(
         self, name: str, told: dict[str, Any] | None, keys: Iterable[str]
     ) -> Answer:
-        """What is true where commits of the leader are open, by the keys that would show them.
+        """Determine a job's status while commits of the leader are in progress.
 
-        `told`: what the leader says; it stands if none of them was executed by now. As in
-        `read`, the end comes last: a record that is gone, or does not say so, turned into it.
+        `told`: the leader's answer, which is right if none of the commits was executed by now;
+        None if its book does not have the job. `keys`: the keys that show whether they were. As
+        in `read_status` the final key is read last, because it replaces the other records.
         """
         known, doubtful = told is not None, False
         for key in dict.fromkeys(keys):
             if key == END_PREFIX + name:
                 doubtful = True
                 continue
-            mark = await self._record_under_key(name, key)
-            if mark is not None and mark.aborted:
+            record = await self._record_under_key(name, key)
+            if record is not None and record.aborted:
                 return 200, self.remember_final_state(name, "withdrawn", 0)
-            if mark is None or mark.doubtful:
+            if record is None or record.doubtful:
                 doubtful = True
-            elif not known and mark.has_dependencies:
-                return await self.read_status(
-                    name, absent_at_leader=False
-                )  # all records are needed
+            elif not known and record.has_dependencies:
+                # Whether a dependency was cancelled shows only in all records.
+                return await self.read_status(name, absent_at_leader=False)
             elif not known:
-                # The book lacks it, so that nobody can have aborted it: where it is says all.
-                return 200, await self._unfinished_job_answer(mark, {name: mark})
+                # The leader's book lacks the job, so nobody can have aborted it: its record is
+                # all there is.
+                return 200, await self._unfinished_job_answer(record, {name: record})
         if doubtful or not known:
             row = await self._shared_read(END_PREFIX + name)
             if row is not None:
@@ -144,26 +146,26 @@
         return RETRY_LATER if told is None else (200, told)
 
     async def _record_under_key(self, name: str, key: str) -> RecordSummary | None:
-        """A job's record under a key: its own, or a batch."""
+        """Return a job's record under its own key or under that of a batch."""
         row = await self._shared_read(key)
         if row is None:
             return None
         if not key.startswith(BATCH_PREFIX):
             return msgspec.json.decode(row.v, type=RecordSummary)
-        marks = msgspec.json.decode(row.v, type=BatchSummary).jobs
-        mark = next((mark for mark in marks if mark.spec.nameId == name), None)
-        if mark is not None:
-            mark.doubtful = len(row.v) > self.ledger.limits.value_b
-        return mark
+        records = msgspec.json.decode(row.v, type=BatchSummary).jobs
+        record = next((record for record in records if record.spec.nameId == name), None)
+        if record is not None:
+            record.doubtful = len(row.v) > self.ledger.limits.value_b
+        return record
 
     async def _shared_read(self, key: str) -> Row | None:
-        """One key, read after this call; all who ask before the read begins share it."""
+        """Read a key; the read starts after this call and is shared until it starts."""
         read = self._pending_reads.get(key)
         if read is None:
             if len(self._pending_reads) >= constants.ROWS_WAITING:
-                raise NoAnswer("too many questions")
+                raise NoAnswer("too many reads are waiting")
             read = self._pending_reads[key] = asyncio.create_task(self._start_read(key))
-            # All who waited may have given up: a failure is nobody's then.
+            # Mark a failure as retrieved: all callers may have given up.
             read.add_done_callback(lambda done: done.cancelled() or done.exception())
         return await asyncio.shield(read)
 
@@ -175,97 +177,102 @@
         return await self.ledger.get(key)
 
     async def _unfinished_job_answer(
-        self, mark: RecordSummary, marks: Mapping[str, RecordSummary]
+        self, record: RecordSummary, records: Mapping[str, RecordSummary]
     ) -> dict[str, Any]:
-        """What is told of a job that is on record and not over."""
-        name = mark.spec.nameId
-        if mark.aborted or (
-            mark.has_dependencies and await self.is_cancelled_by_dependency(name, marks)
+        """Return the answer for a job that has a record and is not finished."""
+        name = record.spec.nameId
+        if record.aborted or (
+            record.has_dependencies and await self.is_cancelled_by_dependency(name, records)
         ):
             return self.remember_final_state(name, "withdrawn", 0)
         unknown = {"nameId": name, "status": "pending", "done": 0, "running": 0}
         return self.last_leader_answers.get(name, unknown)
 
     async def read_unfinished_jobs(self) -> dict[str, RecordSummary]:
-        """All jobs that are not over, read after this call.
+        """Return all unfinished jobs, by a scan that starts after this call.
 
-        Everybody who asks while a read is under way shares the next one: in a
-        storm of questions without a leader, reads must not grow with it.
+        All callers during a scan share the next one, so that a flood of queries without a
+        leader does not multiply the reads.
         """
         if self.next_scan is None:
             self.next_scan = asyncio.create_task(self._scan_records(self.current_scan))
-            # All who waited may have given up: a failure is nobody's then.
+            # Mark a failure as retrieved: all callers may have given up.
             self.next_scan.add_done_callback(lambda done: done.cancelled() or done.exception())
         return await asyncio.shield(self.next_scan)
 
     async def _scan_records(
-        self, before: "asyncio.Task[dict[str, RecordSummary]] | None"
+        self, previous: "asyncio.Task[dict[str, RecordSummary]] | None"
     ) -> dict[str, RecordSummary]:
-        if before is not None:
-            await asyncio.wait({before})
-        # One read for all of them is taken from what questions may take.
+        if previous is not None:
+            await asyncio.wait({previous})
+        # The scan counts as one read of the query budget.
         await self.ledger.asking.wait()
         self.current_scan, self.next_scan = self.next_scan, None
-        out = await self._scan_own_records()
-        alone = set(out)
+        records = await self._scan_own_records()
+        unbatched = set(records)
         rows, _ = await self.ledger.scan(BATCH_PREFIX)
         for row in rows:
-            for mark in msgspec.json.decode(row.v, type=BatchSummary).jobs:
-                mark.doubtful = len(row.v) > self.ledger.limits.value_b
-                twin = out.setdefault(mark.spec.nameId, mark)
-                # A record of its own is removed with the end: while it is there, nothing is over.
-                twin.aborted = twin.aborted or mark.aborted
-                twin.doubtful = twin.doubtful and mark.doubtful
-                alone.discard(mark.spec.nameId)
-        # Of the others a batch may have said that it is aborted, and both are gone since: found on
-        # the bench, where answers were lost and many jobs had two records. What is still there
-        # was not over, so no batch had it.
-        still = await self._scan_own_records() if alone else {}
-        for name in alone:
-            out[name] = still.get(name, out[name])
-            out[name].doubtful = name not in still
-        return out
+            for record in msgspec.json.decode(row.v, type=BatchSummary).jobs:
+                record.doubtful = len(row.v) > self.ledger.limits.value_b
+                first = records.setdefault(record.spec.nameId, record)
+                # A job's own record is removed by the commit that writes its final key, so while it
+                # exists the job is unfinished.
+                first.aborted = first.aborted or record.aborted
+                first.doubtful = first.doubtful and record.doubtful
+                unbatched.discard(record.spec.nameId)
+        # A job that was found only under its own key may also have been in a batch that said it
+        # is aborted, and both may have been removed between the two scans. That happens when
+        # responses are lost and many jobs have two records. If the own record still exists, the
+        # job was unfinished during the scan of the batches, so no batch had it.
+        remaining = await self._scan_own_records() if unbatched else {}
+        for name in unbatched:
+            records[name] = remaining.get(name, records[name])
+            records[name].doubtful = name not in remaining
+        return records
 
     async def _scan_own_records(self) -> dict[str, RecordSummary]:
         rows, _ = await self.ledger.scan(JOB_PREFIX)
-        marks = [msgspec.json.decode(row.v, type=RecordSummary) for row in rows]
-        return {mark.spec.nameId: mark for mark in marks}
+        records = [msgspec.json.decode(row.v, type=RecordSummary) for row in rows]
+        return {record.spec.nameId: record for record in records}
 
     async def is_cancelled_by_dependency(
-        self, name: str, marks: Mapping[str, RecordSummary]
+        self, name: str, records: Mapping[str, RecordSummary]
     ) -> bool:
-        """Whether something before a job on record is cancelled; NoAnswer where unknown.
+        """Return whether a direct or indirect dependency of a job was cancelled.
 
-        Its own record does not say so, and need not ever: see `pipelines.graph`.
+        The job's own record need not ever say so: see `pipelines.graph`. Raises NoAnswer when a
+        dependency is in none of the records that were read.
         """
         stack, seen = [name], {name}
         while stack:
-            for before in await self._dependencies_of(marks[stack.pop()]):
-                if before in seen:
+            for dependency in await self._dependencies_of(records[stack.pop()]):
+                if dependency in seen:
                     continue
-                seen.add(before)
-                mark = marks.get(before)
-                if mark is not None and mark.aborted:
+                seen.add(dependency)
+                record = records.get(dependency)
+                if record is not None and record.aborted:
                     return True
-                if mark is not None and not mark.doubtful:
-                    stack.append(before)
+                if record is not None and not record.doubtful:
+                    stack.append(dependency)
                     continue
-                status = await self._final_status(before)
+                status = await self._final_status(dependency)
                 if status == "withdrawn":
                     return True
-                if status is None and mark is None:
-                    raise NoAnswer(f"{before} is on no record that was read")
+                if status is None and record is None:
+                    raise NoAnswer(
+                        f"dependency {dependency} is in none of the records that were read"
+                    )
                 if status is None:
-                    stack.append(before)
+                    stack.append(dependency)
         return False
 
-    async def _dependencies_of(self, mark: RecordSummary) -> list[str]:
-        if mark.apart is None:
-            return mark.spec.waitsOn or []
-        return await apart.names(self.ledger, mark.spec.nameId, mark.apart)
+    async def _dependencies_of(self, record: RecordSummary) -> list[str]:
+        if record.apart is None:
+            return record.spec.waitsOn or []
+        return await apart.names(self.ledger, record.spec.nameId, record.apart)
 
     async def _final_status(self, name: str) -> str | None:
-        """How a job ended; None if it has not."""
+        """Return a job's final status, or None if it is not finished."""
         known = self.final_states.get(name)
         if known is not None:
             return str(known["status"])
--- a/src/chalkgrade/serving/server.py
+++ b/src/chalkgrade/serving/server.py
@@ -16,27 +16,30 @@
 
 
 class _Connection(web.RequestHandler):
-    """aiohttp's side of a connection; tells the guard what happens on it."""
+    """aiohttp's protocol for one connection; reports its events to the connection guard."""
 
     __slots__ = ("connection_guard",)
 
     connection_guard: "ConnectionGuard[web.RequestHandler]"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         super().connection_made(transport)
         self.connection_guard.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Report received bytes before they are parsed."""
         self.connection_guard.data_received(self)
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Remove the connection."""
         self.connection_guard.connection_closed(self)
         super().connection_lost(exc)
 
 
 def _request_kind(method: str, path: str) -> RequestKind:
-    """What a request is for."""
+    """Return the kind of a request, by its method and path."""
     if path == "/hello":
         return RequestKind.REPORT
     if not path.startswith("/v2/"):
@@ -53,9 +56,10 @@
 
 
 class Server:
-    """A node's answers over HTTP. Made within a running loop."""
+    """Serves a node over HTTP; has to be created within a running event loop."""
 
     def __init__(self, node: Node) -> None:
+        """Create the connection guard and the aiohttp server."""
         self._node = node
         sockets = node.settings.cluster.quota.sockets
         self.connection_guard: ConnectionGuard[web.RequestHandler] = ConnectionGuard(
@@ -65,7 +69,7 @@
         self._loop = asyncio.get_running_loop()
 
     def __call__(self) -> web.RequestHandler:
-        """A protocol for one accepted connection."""
+        """Create the protocol of an accepted connection."""
         connection = _Connection(
             self._web,
             loop=self._loop,
@@ -80,18 +84,19 @@
         await self._web.shutdown(constants.CLOSE_S)
 
     async def watch_connections(self) -> None:
-        """End unfinished connections in time, and say so in one counted line."""
-        told_at = self._node.clock.now()
+        """Close overdue connections; log the number closed or refused once per interval."""
+        logged_at = self._node.clock.now()
         while True:
             await asyncio.sleep(constants.GUARD_EVERY_S)
             self.connection_guard.sweep()
-            if self._node.clock.now() - told_at >= constants.TELL_EVERY_S:
-                told_at = self._node.clock.now()
-                told = self.connection_guard.drain_counts()
-                if told:
-                    log.warning("connections ended or refused: %s", told)
+            if self._node.clock.now() - logged_at >= constants.TELL_EVERY_S:
+                logged_at = self._node.clock.now()
+                drained = self.connection_guard.drain_counts()
+                if drained:
+                    log.warning("connections ended or refused: %s", drained)
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one request and report to the guard that it is answered."""
         connection = request.protocol
         try:
             return await self._answer(request, connection)
@@ -110,8 +115,8 @@
         except web.HTTPRequestEntityTooLarge:
             return self._respond(path, 400, {"error": "body over 64 KiB"}, close=True)
         except (web.RequestPayloadError, ConnectionError):
-            # Ended by the other side or by the guard: nobody will read an answer, and a
-            # traceback for each would fill the log (found by trying: 67 a second).
+            # Closed by the client or by the guard: nobody reads the answer. A traceback for
+            # each would fill the log: up to 67 per second under a flood of such requests.
             self.connection_guard.request_interrupted()
             return self._respond(path, 400, {"error": "body incomplete"}, close=True)
         if not self.connection_guard.request_received(
@@ -123,7 +128,7 @@
         try:
             status, answer = await self._node.handle(request.method, path, body)
         except Exception:
-            log.exception("%s %s", request.method, path)
+            log.exception("request failed: %s %s", request.method, path)
             status, answer = 503, {"error": "internal error"}
         return self._respond(path, status, answer)
 
@@ -131,13 +136,13 @@
         self, path: str, status: int, answer: dict[str, Any], close: bool = False
     ) -> web.Response:
         headers = {}
-        # Workers and users come back on a new connection when they next have something to
-        # say: that way more of them than there are sockets are served (found at three times
-        # the fleet: 1,779 workers, each keeping one of 1,532).
+        # When sockets are short, workers and users have to reconnect for their next request.
+        # So more of them than there are sockets can be served: 1,779 workers (three times the
+        # usual number) that each keep a connection don't fit into 1,532 sockets.
         close = close or self.connection_guard.is_crowded()
         if status == 503:
             headers["Retry-After"] = str(constants.RETRY_AFTER_S)
-            # The next try of a user may reach a better placed node.
+            # A user's retry on a new connection may reach another controller, which can answer.
             close = close or path.startswith("/v2/")
         if close:
             headers["Connection"] = "close"
