--- a/src/chalkgrade/serving/job_api.py
+++ b/src/chalkgrade/serving/job_api.py
@@ -1,9 +1,9 @@
-"""What users hear: submissions, queries and aborts, at any controller.
+"""The job API for users: submissions, queries and aborts, at any controller.
 
-A submission is committed by whichever node gets it, conditioned on the job
-being unknown. Whatever is not final is answered by the leader from its book or
-from a fresh read of the state service, and otherwise not at all (503): an
-older answer must never follow a newer one.
+Any controller can commit a submission, on the condition that the job does not exist yet. The
+status of an unfinished job comes from the leader's job book or from a read of the state service
+that starts after the request; otherwise the answer is 503, because an older status must never
+follow a newer one.
 """
 
 import asyncio
@@ -42,19 +42,20 @@
 log = logging.getLogger("chalkgrade.intake")
 
 
-# A submission that is not to be committed once more, of a job that nothing can be said of now.
+# The job of a submission was accepted, so it must not be committed again, but its status can't
+# be determined now.
 ACCEPTED_RETRY_LATER: Answer = (503, RETRY_LATER[1] | {"known": True})
 
 
 class PeerAnswer(msgspec.Struct):
-    """What a controller answers to another: an HTTP status and body."""
+    """A response between controllers: an HTTP status and body."""
 
     status: int
     body: dict[str, Any] = {}
 
 
 class JobApi:
-    """The users' interface of one node."""
+    """The job API of one node."""
 
     def __init__(
         self,
@@ -66,16 +67,18 @@
         flavors: dict[str, Flavor],
         views: Views,
     ) -> None:
+        """`flavors`: the machine types by name, filled in by the node once they are known."""
         self.settings = settings
         self.ledger = ledger
         self.leadership = leadership
         self.peers = peers
         self.clock = clock
-        self.views = views  # what is known of the other controllers
-        self.request_failed_at: dict[str, float] = {}  # when a question to a controller last failed
-        # What the leader last said of a job: its counts, should it fall silent.
+        self.views = views  # the state of the other controllers
+        # Controller -> when a request to it last failed.
+        self.request_failed_at: dict[str, float] = {}
+        # Job -> the leader's last answer, for the task counts when the leader is not reachable.
         self.last_leader_answers: OrderedDict[str, dict[str, Any]] = OrderedDict()
-        # What subsystems say of a submission: why it can never run, or None.
+        # Checks of the subsystems: each returns why a submission can never run, or None.
         self.submission_checks: list[Callable[[JobSpec], str | None]] = []
         self.flavors = flavors
         self.term: Term | None = None
@@ -95,7 +98,7 @@
         )
 
     def remember_final_state(self, name: str, status: str, done: int) -> dict[str, Any]:
-        """Keep a final state: it never changes, so any node may repeat it."""
+        """Store a final state, which never changes, and return the answer for it."""
         answer = {"nameId": name, "status": status, "done": done, "running": 0}
         self.final_states[name] = answer
         while len(self.final_states) > constants.FINAL_CACHE:
@@ -104,7 +107,7 @@
         return answer
 
     async def watch_final_states(self) -> None:
-        """Learn of final states as they come to be, so that repeated questions cost nothing."""
+        """Watch the state service for final states, so that repeated queries cost no reads."""
         revision = 0
         while True:
             try:
@@ -114,7 +117,7 @@
             except Compacted:
                 revision = 0
             except (NoAnswer, NotExecuted, Rejected) as error:
-                log.debug("watch of final states: %s", error)
+                log.debug("watch failed: final states: %s", error)
             else:
                 for change in changes.log:
                     if change.write is not None:
@@ -127,14 +130,15 @@
     # -- submissions --------------------------------------------------------------
 
     def rejection_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never run, or None."""
+        """Return why a job can never run, or None."""
         team = self.teams.get(spec.owner)
         if team is None:
             return f"owner: unknown team {spec.owner!r}"
-        count = 1 if spec.shape == "batch" else spec.tasks  # a gang runs all at once
-        for field, most in (("vcpus", team.cpus_max), ("gpus", team.gpus_max)):
-            if most and getattr(spec, field) * count > most + 1e-9:
-                return f"{field}: over the limit of team {spec.owner!r} ({most:g})"
+        # All tasks of a gang or service run at once.
+        count = 1 if spec.shape == "batch" else spec.tasks
+        for field, maximum in (("vcpus", team.cpus_max), ("gpus", team.gpus_max)):
+            if maximum and getattr(spec, field) * count > maximum + 1e-9:
+                return f"{field}: over the limit of team {spec.owner!r} ({maximum:g})"
         zones = {
             site
             for flavor in self.flavors.values()
@@ -150,16 +154,16 @@
             and spec.tasks > 1
             and (spec.oneZone or len(zones) < 2)
         ):
-            # Of a batch half runs at a time: replicas run all at once.
+            # Half of a batch may run at a time, but all replicas run at once.
             return "spread: the replicas can't be in two zones"
         return next(filter(None, (check(spec) for check in self.submission_checks)), None)
 
     async def submit(self, body: bytes) -> Answer:
-        """POST /v2/runs."""
+        """Handle POST /v2/runs."""
         try:
             spec = parse_submission(body, self.ledger.limits.value_b)
         except TooLong as error:
-            # Accepted under other limits, it must not be refused when it is repeated.
+            # A job accepted under other limits must not be refused when it is submitted again.
             name = msgspec.json.decode(body, type=JobSpec).nameId
             return await self._unless_accepted(name, (400, {"error": str(error)}))
         except Invalid as error:
@@ -178,10 +182,10 @@
             return RETRY_LATER
         refusal = self.rejection_reason(spec)
         if refusal is not None:
-            # A job accepted under other settings must not be refused when it is repeated.
+            # A job accepted under other settings must not be refused when it is submitted again.
             return await self._unless_accepted(spec.nameId, (422, {"error": refusal}))
-        # The leader makes many submissions durable with one change. Whoever can't
-        # reach it commits alone, under the condition that the job is unknown.
+        # The leader commits many submissions in one batch. A controller that can't reach it
+        # commits the submission itself, on the condition that the job does not exist.
         if self.term is not None:
             answer = await self.submit_as_leader(spec)
         else:
@@ -191,55 +195,55 @@
         try:
             return await self.commit_submission(spec)
         except (NotExecuted, NoAnswer) as error:
-            log.info("submission of %s: state service: %s", spec.nameId, error)
+            log.info("submission failed: %s: state service: %s", spec.nameId, error)
             return RETRY_LATER
 
     async def _unless_accepted(self, name: str, answer: Answer) -> Answer:
-        """What a job's state is if it was accepted, else this answer."""
+        """Return the job's status if it was accepted before, else `answer`."""
         status, known = await self.query(name)
         return answer if status == 404 else (status, known)
 
     async def _dependency_error(self, spec: JobSpec) -> Answer | None:
-        """Why a submission can't be taken for the jobs that it names, or None."""
+        """Return the answer if a job's dependencies rule it out or can't be checked, else None."""
         if spec.waitsOn is None or (self.term is not None and self.term.knows(spec.nameId)):
             return None
         try:
             refusal = await self.dependency_check.dependency_rejection(spec.waitsOn, self.term)
         except (NoAnswer, NotExecuted, Rejected, msgspec.DecodeError) as error:
-            log.info("jobs that %s names: %s", spec.nameId, error)
+            log.info("dependency check failed: %s: %s", spec.nameId, error)
             return await self._unless_accepted(spec.nameId, RETRY_LATER)
         if refusal is None:
             return None
         return await self._unless_accepted(spec.nameId, (422, {"error": refusal}))
 
     async def submit_as_leader(self, spec: JobSpec) -> Answer:
-        """Accept a submission as the leader."""
+        """Handle a submission as the leader."""
         if self.term is None:
             return RETRY_LATER
         refused = await self._dependency_error(spec)
         if refused is not None or self.term is None:
             return refused or RETRY_LATER
         try:
-            made = await self.term.submit(spec)
+            is_new = await self.term.submit(spec)
         except (Unavailable, NoAnswer, NotExecuted, Rejected):
             return RETRY_LATER
-        # Accepted: what has become of it by now is told, as to all. Where that can't be known,
-        # whoever brought the job asked before anybody could be told of it: it is pending.
+        # The job is accepted. Answer with its present status, as for a query. If that can't be
+        # determined, "pending" is right: this request came before any user was told of the job.
         status, known = await self.query(spec.nameId)
-        if made:
+        if is_new:
             return 201, known if status == 200 else {"nameId": spec.nameId, "status": "pending"}
         return (200, known) if status == 200 else ACCEPTED_RETRY_LATER
 
     async def commit_submission(self, spec: JobSpec) -> Answer:
-        """Commit a submission, if the job is not known."""
+        """Commit a submission to the state service, unless the job exists."""
         name = spec.nameId
         refused = await self._dependency_error(spec)
         if refused is not None:
             return refused
         value = JobValue(spec, self.clock.wall())
 
-        async def look() -> int:
-            """Whoever made the job's own key, it is accepted: what is true of it is read next."""
+        async def read_stamp() -> int:
+            """Return the stamp of the job's own key: whoever created it, the job is accepted."""
             row = await self.ledger.get(JOB_PREFIX + name)
             return 0 if row is None else row.stamp
 
@@ -252,7 +256,7 @@
                     [{"write": JOB_PREFIX + name, "v": msgspec.Raw(apart.record(value))}],
                     timeout=constants.STATE_TIMEOUT_S / 2,
                 )
-                await self.ledger.settled(commit, look)
+                await self.ledger.settled(commit, read_stamp)
             except Conflict:
                 status, known = await self.query(name)
                 return status if status != 404 else 503, known
@@ -265,14 +269,14 @@
                     raise
                 await asyncio.sleep(0.1)
             except NoAnswer:
-                # Executed or not: where the record has the job, that is an answer all the same.
+                # Whether it was executed or not: if the record has the job, it is accepted.
                 status, known = await self.status_resolver.resolve_answer(name, RETRY_LATER)
                 if status == 200:
                     return 201, known
                 if attempt:
                     raise
             else:
-                # The leader may hold it in a batch, aborted even: say what is true of it.
+                # The leader may have the job in a batch, and even aborted: read its status.
                 status, known = await self.status_resolver.resolve_answer(name, RETRY_LATER)
                 return (201, known) if status == 200 else RETRY_LATER
         return RETRY_LATER
@@ -280,17 +284,17 @@
     # -- queries ------------------------------------------------------------------
 
     async def query(self, name: str) -> Answer:
-        """GET /v2/runs/{id}."""
+        """Handle GET /v2/runs/{id}."""
         if not is_id(name):
             return UNKNOWN_JOB
         return await self.status_resolver.job_status(name)
 
     async def _status_from_leader(self, name: str) -> Answer:
-        """What the leader says of a job's state."""
+        """Ask the leader for a job's status."""
         return await self._ask_leader("status", name, constants.PEER_TIMEOUT_S / 2)
 
     async def _ask_leader(self, what: str, name: str, timeout: float) -> Answer:
-        """Ask the leader, wherever it is: 404 here only means that its book lacks the job."""
+        """Ask the leader, which may be this node; 404 only means that its book lacks the job."""
         if self.term is not None and self.term.live():
             return await self.answer_as_leader(what, name)
         leader = self.leadership.leader
@@ -298,8 +302,8 @@
             return RETRY_LATER
         answer = await self._ask_peer(leader, what, name, timeout)
         if answer[0] == 200 and answer[1].get("status") in FINAL_STATUSES:
-            of = str(answer[1].get("nameId", ""))  # `name` may be a whole submission
-            self.remember_final_state(of, answer[1]["status"], answer[1].get("done", 0))
+            job = str(answer[1].get("nameId", ""))  # `name` may be a whole submission
+            self.remember_final_state(job, answer[1]["status"], answer[1].get("done", 0))
         elif what == "status":
             told = answer[1].get("told") if answer[0] == COMMITS_OPEN else answer[1]
             if answer[0] in (200, COMMITS_OPEN) and told is not None:
@@ -310,16 +314,18 @@
         return answer
 
     def is_responsive(self, member: str) -> bool:
-        """Whether a controller is worth a question.
+        """Return whether a controller is likely to answer.
 
-        One that has not answered the last one, and has given no sign since,
-        would cost each user a whole time-out.
+        If it did not answer the last request and has not been heard of since, asking it
+        would cost each user a whole timeout.
         """
-        heard = self.views.sign_at(member)
-        return self.views.trusted(member) and heard >= self.request_failed_at.get(member, -1e9)
+        last_contact_at = self.views.sign_at(member)
+        return self.views.trusted(member) and last_contact_at >= self.request_failed_at.get(
+            member, -1e9
+        )
 
     async def answer_as_leader(self, what: str, name: str) -> Answer:
-        """Answer as the leader, from the book."""
+        """Answer a status query or an abort as the leader, from the job book."""
         known = self.final_states.get(name)
         if known is not None:
             return 200, known
@@ -338,7 +344,7 @@
             return RETRY_LATER
 
     async def abort(self, name: str) -> Answer:
-        """POST /v2/runs/{id}/abort."""
+        """Handle POST /v2/runs/{id}/abort."""
         known = self.final_states.get(name)
         if known is not None:
             return 200, known
@@ -353,7 +359,7 @@
             return RETRY_LATER
         answer = self.status_resolver.prefer_final_state(answer)
         if answer[0] == 200 and answer[1]["status"] not in FINAL_STATUSES:
-            return RETRY_LATER  # accepted just now: the leader has yet to learn of it
+            return RETRY_LATER  # accepted just now: the leader does not know the job yet
         return answer
 
     async def _ask_peer(self, leader: str, what: str, arg: str, timeout: float) -> Answer:
@@ -361,7 +367,7 @@
             reply = await self.peers.ask(leader, {"q": what, "arg": arg}, timeout)
             answer = msgspec.convert(reply, PeerAnswer)
         except (NoAnswer, msgspec.ValidationError) as error:
-            log.debug("asking %s: %s", leader, error)
+            log.debug("request failed: to %s: %s", leader, error)
             self.request_failed_at[leader] = self.clock.now()
             return RETRY_LATER
         return answer.status, answer.body
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -1,4 +1,4 @@
-"""One controller: the slices wired together, without any real input or output."""
+"""One controller: its components wired together, without real input or output."""
 
 import asyncio
 import logging
@@ -36,7 +36,7 @@
 
 
 class Node:
-    """A controller's parts and its answers to users, workers and peers."""
+    """A controller's components and its answers to users, workers and other controllers."""
 
     def __init__(
         self,
@@ -47,22 +47,29 @@
         rng: random.Random,
         home: str = "",
     ) -> None:
-        """`home`: see `LeaderValue`; to be held from `start` to the end of the process."""
+        """`home`: see `LeaderValue`; it must be unique to the process from `start` to its end."""
         self.settings = settings
         self.clock = clock
         self.started_at = clock.now()
-        self.outage_seen_at = -1e9  # when we were last up within an outage for all
+        self.outage_seen_at = -1e9  # when users were last accepted during an outage for all
         self.peers = peers
         self.http = http
         self.rng = rng
         cluster = settings.cluster
         self.flavors: dict[str, Flavor] = {}
-        nodes = len(settings.others) + 1
-        self.ledger = Ledger(http, clock, settings.endpoints.state, cluster.state, nodes)
+        member_count = len(settings.others) + 1
+        self.ledger = Ledger(http, clock, settings.endpoints.state, cluster.state, member_count)
         self.cloud = Cloud(http, clock, settings.endpoints.cloud, cluster.cloud.rps)
-        spare = cluster.workers.cancel_s - cluster.workers.lease_s - constants.LIMBO_MARGIN_S
+        grace_s = cluster.workers.cancel_s - cluster.workers.lease_s - constants.LIMBO_MARGIN_S
         self.leadership = Leadership(
-            self.ledger, clock, rng, settings.member, spare, self._begin_term, self._end_term, home
+            self.ledger,
+            clock,
+            rng,
+            settings.member,
+            grace_s,
+            self._begin_term,
+            self._end_term,
+            home,
         )
         others = [peer.member for peer in settings.others]
         self.views = Views(
@@ -111,36 +118,39 @@
         )
         self.job_api.submission_checks += subsystems.refusals(settings)
         self.term: Term | None = None
-        self.responses_by_status: dict[str, int] = {}
+        self.responses_by_status: dict[str, int] = {}  # HTTP responses
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
+        """Start the loops."""
         loops = [self.leadership.run(), self._flavors_loop(), self.job_api.watch_final_states()]
-        knowing = (
+        supervised = (
             *self.watch.loops,
             *self.presence.loops,
             self.handover.run,
             self.cancellation_poll.run,
         )
-        loops += [self._restart_on_error(loop) for loop in knowing]
+        loops += [self._restart_on_error(loop) for loop in supervised]
         self._tasks = [asyncio.create_task(loop) for loop in loops]
 
     async def _restart_on_error(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """A loop that meets a bug begins anew: without it this controller would know nobody."""
+        """Run a loop and restart it after an error, since the node can't do without any of them."""
         while True:
             try:
                 await loop()
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("a loop failed")
+                log.exception("loop failed: restarting it")
                 await asyncio.sleep(constants.TICK_S)
 
     def stop(self) -> None:
+        """Stop the loops and give up the lead."""
         for task in self._tasks:
             task.cancel()
         self.watch.stop()
-        self.leadership.depose()  # whoever listens here next takes it for ended
+        # The next process on these addresses relies on this one having given up the lead.
+        self.leadership.depose()
 
     def _begin_term(self, token: int) -> None:
         self.handover.fitness.leads()
@@ -163,7 +173,7 @@
         self.term = self.job_api.term = None
 
     async def _flavors_loop(self) -> None:
-        """Know the machine types: from the cloud, or as the last leader knew them."""
+        """Load the machine types: as the last leader stored them, or else from the cloud."""
         while not self.flavors:
             try:
                 row = await self.ledger.get(FLAVORS_KEY)
@@ -175,11 +185,11 @@
                 if not self.flavors:
                     self.flavors.update({flavor.sku: flavor for flavor in found})
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
-                log.info("machine types: %s", error)
+                log.info("machine types not loaded: %s", error)
                 await asyncio.sleep(constants.CAMPAIGN_PAUSE_S * (1 + self.rng.random()))
 
     def samples(self) -> Iterable[Sample]:
-        """Figures for /metrics: this node's, and those of its term if it leads."""
+        """Yield the samples for /metrics: this node's, and those of its term if it leads."""
         yield gauge("leading", "1 while this node surely holds the lead", self.leadership.acting())
         yield gauge("token", "highest token known", self.leadership.highest)
         left = self.leadership.shelter.left_s() if self.leadership.token else 0.0
@@ -200,11 +210,11 @@
             (m, s): float(v.state == s) for m, v in views.of.items() for s in STATES
         }
         yield Sample("members", "Controllers by what is known", ("member", "state"), states)
-        kinds = ("answered", "spoke", "vouched", "returned")
+        evidence_kinds = ("answered", "spoke", "vouched", "returned")
         ages: dict[tuple[str, ...], float] = {
             (member, kind): round(now - getattr(view, f"{kind}_at"), 1)
             for member, view in views.of.items()
-            for kind in kinds
+            for kind in evidence_kinds
             if getattr(view, f"{kind}_at") > 0
         }
         text = "Seconds since the last evidence of a kind"
@@ -215,7 +225,7 @@
     # -- peers --------------------------------------------------------------------
 
     def own_status(self) -> Word:
-        """What this controller says of itself."""
+        """Return what this controller tells the others about itself."""
         views = self.views
         return Word(
             self.settings.member,
@@ -237,12 +247,12 @@
         )
 
     def _knows_older_version(self) -> bool:
-        """Whether an earlier version of the program is at work: its processes end before ours."""
+        """Return whether some controller runs an earlier version, which will be replaced first."""
         words = (view.word for view in self.views.of.values())
         return any(word is not None and word.version < constants.VERSION for word in words)
 
     def _on_status(self, word: Word) -> None:
-        """A word of another controller was taken in: who leads, as it says."""
+        """Another controller's status was accepted: note who leads according to it."""
         if word.token:
             if word.token > self.ledger.revision_bound():
                 self.views.drop("token from the future")
@@ -253,8 +263,8 @@
 
     def _on_state_changed(self, member: str, old: str, new: str) -> None:
         view, now = self.views.of[member], self.clock.now()
-        shown = log.info if new == ALIVE else log.warning
-        shown(
+        log_at_level = log.info if new == ALIVE else log.warning
+        log_at_level(
             "%s is %s, was %s: last sign %.1f s ago, own key %s",
             member,
             new,
@@ -263,59 +273,71 @@
             view.lease or "unknown",
         )
         if member == self.leadership.leader:
-            self.leadership.changed.fire()  # who waits for the leader looks again
+            self.leadership.changed.fire()  # wake those that wait for a leader
 
     def _own_lease_duration_s(self) -> float:
-        """How long a lease of the lead should be, as far as this controller measured."""
-        wary = self.clock.now() - self.leadership.ended_under_us_at < constants.LEASE_WARY_S
-        slow = constants.LEASE_SLOWS * self.ledger.slow_s()
-        late = constants.LEASE_LATES * self.views.late_s()
-        wished = constants.LEASE_TTL_S if wary else constants.LEASE_LEAST_S + slow + late
-        return min(constants.LEASE_TTL_S, wished)
+        """Return the lease duration that this controller's own measurements call for, s."""
+        recently_lost = (
+            self.clock.now() - self.leadership.ended_under_us_at < constants.LEASE_WARY_S
+        )
+        response_s = constants.LEASE_SLOWS * self.ledger.slow_s()
+        delay_s = constants.LEASE_LATES * self.views.late_s()
+        wanted = (
+            constants.LEASE_TTL_S
+            if recently_lost
+            else constants.LEASE_LEAST_S + response_s + delay_s
+        )
+        return min(constants.LEASE_TTL_S, wanted)
 
     def _lease_duration_s(self) -> float:
-        """The longest that any controller, the last leader too, has asked for of late."""
+        """Return the longest lease duration that any controller has recently asked for, s.
+
+        That includes the previous leader.
+        """
         words = (view.word for view in self.views.of.values())
         now = self.clock.wall()
-        asked = [w.lease_s for w in words if w is not None and now - w.at < constants.LATE_KEPT_S]
-        return min(constants.LEASE_TTL_S, max([self._own_lease_duration_s(), *asked]))
+        requested = [
+            w.lease_s for w in words if w is not None and now - w.at < constants.LATE_KEPT_S
+        ]
+        return min(constants.LEASE_TTL_S, max([self._own_lease_duration_s(), *requested]))
 
     def _campaign_rank(self) -> int:
-        """How many controllers are better placed to lead: they campaign first."""
+        """Return how many controllers are more suitable to lead: they campaign first."""
 
-        mine = self.own_status()
+        own = self.own_status()
         words = [w for w in self.views.fresh() if self.views.state(w.member) == ALIVE]
-        own = placed(mine)
-        better = sum(placed(word) < own and not word.aside for word in words)
-        # Who has just started has not heard of all yet: it takes them for better placed.
-        unheard = sum(view.word is None for view in self.views.of.values())
-        return better + unheard * mine.young
+        own_preference = placed(own)
+        better = sum(placed(word) < own_preference and not word.aside for word in words)
+        # A node that has just started has not heard from all others yet: it gives way to those.
+        unknown = sum(view.word is None for view in self.views.of.values())
+        return better + unknown * own.young
 
     async def _send_hints(self, hints: Hints) -> None:
+        """Send the leader's hints to the controllers that are likely to lead next."""
         message = {"q": "hints", "arg": hints}
         peers = self.handover.candidates()[: constants.HINTS_PEERS]
-        asked = [self.peers.ask(peer, message, constants.PEER_TIMEOUT_S) for peer in peers]
-        for answer in await asyncio.gather(*asked, return_exceptions=True):
-            if isinstance(answer, BaseException) and not isinstance(answer, NoAnswer):
-                raise answer
+        requests = [self.peers.ask(peer, message, constants.PEER_TIMEOUT_S) for peer in peers]
+        for result in await asyncio.gather(*requests, return_exceptions=True):
+            if isinstance(result, BaseException) and not isinstance(result, NoAnswer):
+                raise result
 
     def _reporting_machine_count(self) -> int:
-        """Machines that have reported in this term and are not given up."""
+        """Return the number of machines that have reported in this term and are not given up."""
         machines = self.term.fleet.machines.values() if self.term is not None else ()
         return sum(machine.reported_at is not None for machine in machines)
 
     def _on_superseded(self) -> None:
-        """Another process of our name is newer: it serves, we do not."""
+        """A newer process with this node's name is running and serves instead."""
         self.leadership.depose()
 
     async def on_peer(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer another controller."""
+        """Answer a request of another controller."""
         what, arg = message.get("q"), message.get("arg")
         status, body = 400, {"error": "unknown question"}
         try:
-            seen = await self.watch.answer(what, arg) if isinstance(what, str) else None
-            if seen is not None:
-                return seen
+            answer = await self.watch.answer(what, arg) if isinstance(what, str) else None
+            if answer is not None:
+                return answer
             if what == "hints":
                 hints = msgspec.convert(arg, Hints)
                 known = hints.token <= self.ledger.revision_bound()
@@ -349,32 +371,34 @@
     # -- HTTP ---------------------------------------------------------------------
 
     def accepts_users(self) -> bool:
-        """Whether users are served here: not when we alone are cut off from the state."""
+        """Return whether users are served here: not if only this node lacks the state service."""
         if self.presence.aside:
             return False
         now = self.clock.now()
         if self.ledger.fresh():
-            # An outage that has just ended: machine types are known in a moment, and balancers
-            # let nobody in for seconds who was away for one (found where seeds were changed).
+            # Right after an outage the machine types may be missing for a moment. Stay with the
+            # load balancer: it readmits a controller that left only after several seconds.
             return bool(self.flavors) or now - self.outage_seen_at < constants.TYPES_S
         fresh = self.views.fresh()
         if any(word.state for word in fresh):
             return bool(self.flavors and self.report_router.is_leader_reachable())
-        # Nobody reaches it: an outage, in which leaving the balancer would only cost time later:
-        # also to who is back within it and knows no machine types yet (found on the bench,
-        # where users had no controller for seconds after its end).
+        # No controller reaches the state service: an outage. Leaving the load balancer would
+        # only delay the return after it, also for a node that restarted during the outage and
+        # has no machine types yet. If all left, users would have no controller for seconds
+        # after the end of the outage.
         self.outage_seen_at = now if fresh else self.outage_seen_at
         return bool(fresh)
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer:
-        """One HTTP request of a user, a worker or the balancer."""
+        """Answer an HTTP request of a user, a worker or the load balancer."""
         if path == "/hello" and method == "POST":
             return await self._handle_worker_report(body)
         if path == "/up" and method == "GET":
             return (200, {"up": True}) if self.accepts_users() else (503, {"up": False})
         if path == "/v2/runs" or path.startswith("/v2/runs/"):
             status, answer = await self._handle_user_request(method, path, body)
-            self.cancellation_poll.announced.note_answer(status, answer)  # before it is sent
+            # Noted before the answer is sent, so that no told cancellation is missing.
+            self.cancellation_poll.announced.note_answer(status, answer)
             return status, answer
         return 404, {"error": "no such resource"}
 
--- a/src/chalkgrade/serving/record_reader.py
+++ b/src/chalkgrade/serving/record_reader.py
@@ -121,24 +121,24 @@
         None if its book does not have the job. `keys`: the keys that show whether they were. As
         in `read_status` the final key is read last, because it replaces the other records.
         """
-        known, doubtful = told is not None, False
+        in_book, check_final_key = told is not None, False
         for key in dict.fromkeys(keys):
             if key == END_PREFIX + name:
-                doubtful = True
+                check_final_key = True
                 continue
             record = await self._record_under_key(name, key)
             if record is not None and record.aborted:
                 return 200, self.remember_final_state(name, "withdrawn", 0)
             if record is None or record.doubtful:
-                doubtful = True
-            elif not known and record.has_dependencies:
+                check_final_key = True
+            elif not in_book and record.has_dependencies:
                 # Whether a dependency was cancelled shows only in all records.
                 return await self.read_status(name, absent_at_leader=False)
-            elif not known:
+            elif not in_book:
                 # The leader's book lacks the job, so nobody can have aborted it: its record is
                 # all there is.
                 return 200, await self._unfinished_job_answer(record, {name: record})
-        if doubtful or not known:
+        if check_final_key or not in_book:
             row = await self._shared_read(END_PREFIX + name)
             if row is not None:
                 end = msgspec.json.decode(row.v, type=EndValue)
--- a/src/chalkgrade/serving/report_router.py
+++ b/src/chalkgrade/serving/report_router.py
@@ -1,7 +1,7 @@
-"""Where a worker's report is answered: here, by the leader, or by nobody just now.
+"""Routes workers' reports: answered here, redirected or relayed to the leader, or turned away.
 
-A report may be a late copy: what is concluded from workers that come and go goes by the
-reports' own order, never by when they arrive.
+A report may be a delayed duplicate. So conclusions from workers that return are drawn from the
+order of the reports' own numbers, not from the order of arrival.
 """
 
 import logging
@@ -23,14 +23,14 @@
 
 
 class _Redirect(NamedTuple):
-    """When a worker was last sent on from here, and by which of its reports."""
+    """The last time a worker was redirected or relayed, and the report that caused it."""
 
-    at: float
-    report_key: tuple[int, int]
+    at: float  # monotonic time, s
+    report_key: tuple[int, int]  # (tenure, seq) of the report
 
 
 class ReportRouter:
-    """One controller's dealings with reports, whoever leads."""
+    """Handles the reports that reach one controller, whether it leads or not."""
 
     def __init__(
         self,
@@ -41,26 +41,26 @@
         lease_s: float,
         term: Callable[[], Term | None],
     ) -> None:
-        """`lease_s`: a worker's lease; `term`: our own term, while we lead."""
+        """`lease_s`: a worker's lease; `term`: this node's term, while it leads."""
         self.leadership = leadership
         self.views = views
         self.peers = peers
         self.clock = clock
         self.lease_s = lease_s
         self.term = term
-        self.leaderless_since: float | None = None  # since when we know of nobody that leads
-        self.redirects: dict[str, _Redirect] = {}  # worker -> when we last dealt with it
-        self.relayed_since: dict[str, float] = {}  # worker -> since when its reports are carried on
-        self.returns_at: deque[float] = deque()  # when workers came back from the leader
-        self.redirect_leader = ""  # the leader that these three are about
-        self.turned_away_at: dict[str, float] = {}  # worker -> when it was sent to look for another
+        self.leaderless_since: float | None = None  # since when no leader is known
+        self.redirects: dict[str, _Redirect] = {}  # worker -> its last redirect
+        self.relayed_since: dict[str, float] = {}  # worker -> start of relaying
+        self.returns_at: deque[float] = deque()  # when redirected workers returned
+        self.redirect_leader = ""  # the leader that these three refer to
+        self.turned_away_at: dict[str, float] = {}  # worker -> when it was sent to find a leader
 
     async def handle_report(self, report: Report, body: bytes) -> Answer:
-        """A worker's own report."""
+        """Answer a report that a worker sent to this controller."""
         await self._wait_for_leader()
         term = self.term()
         if term is not None:
-            # A report may show a newer leader's token: then we are no leader any more.
+            # A report that carries a newer leader's token ends this node's lead.
             if self._serves_worker(report) and term.ready:
                 status, answer = await term.hello(report)
                 if status == 200:
@@ -70,12 +70,12 @@
         return await self._redirect_or_relay(report, body)
 
     def _serves_worker(self, report: Report) -> bool:
-        """Whether we answer a worker as its leader: while we lead, and a bounded time after.
+        """Return whether to answer as the worker's leader: while leading and a bounded time after.
 
-        That time is for outages of the state service, in which nobody else can lead. Where
-        others reach it, or we reach nobody, somebody else may: a worker is sent to look for
-        them first, and only if it comes back within its lease it is kept here, lest its work
-        be lost to a lease that nobody renews.
+        That time covers outages of the state service, during which no other controller can
+        become leader. If other controllers reach the state service, or none can be reached, there
+        may be another leader: the worker is first sent to look for it. Only if it returns within
+        its lease is it served here, so that its work is not lost because nobody renews its lease.
         """
         if self.leadership.acting():
             return True
@@ -85,17 +85,18 @@
         if not self.views.of or (words and not any(word.state for word in words)):
             return True
         now = self.clock.now()
-        back = now - self.turned_away_at.get(report.host, -1e9) < self.lease_s
-        if not back:
+        has_returned = now - self.turned_away_at.get(report.host, -1e9) < self.lease_s
+        if not has_returned:
             self.turned_away_at[report.host] = now
-        return back
+        return has_returned
 
     async def _wait_for_leader(self) -> None:
-        """Keep a report while nobody surely leads, so that its worker is sent to the next one.
+        """Hold a report while no leader is available, so that its worker reaches the next one soon.
 
-        A worker that is sent to a leader that is gone, or is told nothing, comes to it
-        seconds later. Bounded in time, well below the 4 s after which workers give up.
-        A leader that only we do not reach keeps its lease: then workers look elsewhere.
+        A worker that is redirected to a failed leader, or gets no address, reaches the new leader
+        only seconds later. The wait is well below the 4 s after which workers give up. It ends
+        for good after `LEADERLESS_S`: then the leader is only out of this controller's reach and
+        keeps its lease, and workers have to try other controllers.
         """
         now = self.clock.now()
         if self._has_available_leader():
@@ -103,15 +104,15 @@
             return
         if self.leaderless_since is None:
             self.leaderless_since = now
-        most = self.leaderless_since + constants.LEADERLESS_S
-        deadline = min(most, now + constants.LEADER_HOLD_S)
+        latest = self.leaderless_since + constants.LEADERLESS_S
+        deadline = min(latest, now + constants.LEADER_HOLD_S)
         while self.clock.now() < deadline and not self._has_available_leader():
             term = self.term()
-            waits_for = self.leadership.changed if term is None else term.loaded
-            await waits_for.wait(deadline - self.clock.now())
+            signal = self.leadership.changed if term is None else term.loaded
+            await signal.wait(deadline - self.clock.now())
 
     def _has_available_leader(self) -> bool:
-        """Whether a report can be answered or sent on: here, or by a leader that is there."""
+        """Return whether a report can be answered here, or by a leader that can be reached."""
         term = self.term()
         if term is not None:
             return term.ready or not self.leadership.acting()
@@ -121,16 +122,16 @@
         )
 
     async def _redirect_or_relay(self, report: Report, body: bytes) -> Answer:
-        """Send a worker to the leader, or take its report there if it can't reach it itself.
+        """Redirect a worker to the leader, or relay its report if it can't reach the leader itself.
 
-        A leader that workers can't hear keeps the lead: its lease and the other
-        controllers are what it needs, and they carry the reports.
+        A leader that workers don't reach keeps the lead as long as it reaches the state service
+        and the other controllers, which relay the reports.
         """
         leader, now = self.leadership.leader, self.clock.now()
         if leader is None or leader == self.leadership.member or not self.is_leader_reachable():
             return 421, {}
         if leader != self.redirect_leader:
-            # Who was sent to another leader and comes here now is no proof against this one.
+            # Workers that return from an earlier leader say nothing about this one.
             self.redirect_leader = leader
             self.redirects.clear()
             self.relayed_since.clear()
@@ -138,22 +139,23 @@
         key = (report.tenure, report.seq)
         last = self.redirects.get(report.host, _Redirect(-1e9, (0, 0)))
         if key <= last.report_key:
-            return 421, {"reportsTo": leader}  # a copy: nobody came back from anywhere
-        # Who tried the leader waited for a second after that: what comes sooner was sent before,
-        # and the one before it was a copy, as they come in the first second of a term.
-        came_back = constants.RELAY_LEAST_S <= now - last.at < constants.RELAY_WINDOW_S
-        if came_back:
+            return 421, {"reportsTo": leader}  # a duplicate: the worker did not return
+        # A worker that has tried the leader waits for 1 s before it returns. A report that comes
+        # sooner was sent before the redirect, and the one that caused the redirect was a duplicate,
+        # as happens in the first second of a term.
+        has_returned = constants.RELAY_LEAST_S <= now - last.at < constants.RELAY_WINDOW_S
+        if has_returned:
             self.views.returned(leader)
-        if came_back and report.host not in self.relayed_since:
+        if has_returned and report.host not in self.relayed_since:
             self.relayed_since[report.host] = now
             self.returns_at.append(now)
         while self.returns_at and now - self.returns_at[0] > constants.BOUNCE_S:
             self.returns_at.popleft()
-        # Where several came back, the leader hears none of them: nobody else need find out.
-        deaf = len(self.returns_at) >= constants.BOUNCES
-        begun = self.relayed_since.get(report.host, now)
-        if (came_back or deaf) and now - begun < constants.RELAY_S:
-            self.relayed_since[report.host] = begun
+        # If several returned, no worker reaches the leader: relay for all, without trying first.
+        leader_unreached = len(self.returns_at) >= constants.BOUNCES
+        relay_started_at = self.relayed_since.get(report.host, now)
+        if (has_returned or leader_unreached) and now - relay_started_at < constants.RELAY_S:
+            self.relayed_since[report.host] = relay_started_at
             self.redirects[report.host] = _Redirect(now, key)
             try:
                 message = {"q": "hello", "arg": msgspec.json.decode(body)}
@@ -161,9 +163,9 @@
                 if reply.get("status") == 200:
                     return 200, reply.get("body") or {}
             except NoAnswer as error:
-                log.debug("relay to %s: %s", leader, error)
+                log.debug("relay failed: to %s: %s", leader, error)
             return 421, {}
-        # Not seen lately, or relayed for so long that the way may be open again.
+        # Not seen recently, or relayed for so long that the leader may be reachable again.
         self.relayed_since.pop(report.host, None)
         self.redirects[report.host] = _Redirect(now, key)
         if len(self.redirects) > 10_000:
@@ -176,7 +178,7 @@
         return 421, {"reportsTo": leader}
 
     def is_leader_reachable(self) -> bool:
-        """Whether who leads can be reached, as far as we know; ourselves, while we lead."""
+        """Return whether the leader is believed reachable; for this node, whether it may act."""
         leader = self.leadership.leader
         if leader == self.leadership.member:
             return self.leadership.acting()
