--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,8 +1,9 @@
-"""What users are told when they ask at all controllers within milliseconds.
+"""Consistency of job statuses when users ask all controllers within milliseconds.
 
-One-task jobs; after an acceptance, an end or a cancellation users ask every controller, submit
-the job again, and some cancel at once. The region judges each answer by when its question was
-asked: after any node's answer to anybody, none may be older (404, then accepted, then over).
+The jobs have one task each. After an acceptance, an end or a cancellation users ask every
+controller, submit the job again, and some cancel it at once. The simulated region judges each
+answer by the time of its request: once any controller has answered anybody, no answer to a later
+request may be older, in the order 404, accepted, finished.
 """
 
 import asyncio
@@ -28,29 +29,29 @@
 
 Patch = pytest.MonkeyPatch
 BOOT_S = 14.0  # s; until machines are up and have work
-LASTS_S = 24.0  # s; for which users look closely after that
-SPELL_S = 4.0  # s; answers are lost for so long, then none are
-LOOKS = 5  # questions to each controller after an event, over OPEN_S
-OPEN_S = 2.0  # s; a commit's time-out: for so long its fate may be open
-LATE_PART = 0.01  # of all messages are held up, answers of a controller to another too
-TROUBLE_S = 8.0  # s; how long a trouble lasts that does
+QUERY_PERIOD_S = 24.0  # s; after that, how long users query closely
+LOSS_PERIOD_S = 4.0  # s; responses are lost for this long, then none for as long
+QUERIES = 5  # queries to each controller after an event, within OPEN_S
+OPEN_S = 2.0  # s; timeout of a commit, during which its outcome may be unknown
+DELAYED_SHARE = 0.01  # of all messages are delayed, also those between controllers
+FAULT_S = 8.0  # s; duration of a fault that lasts
 
 
-class Close(World):
-    """Jobs of one task, four a second, some of them cancelled at their end or at any time."""
+class CloseQueries(World):
+    """Four one-task jobs per second, some of them cancelled near their end or at any time."""
 
-    PIPED = 0.15  # of the jobs name earlier ones, in whatever state: they are cancelled with them
+    PIPED = 0.15  # share of jobs that wait for earlier ones, and are cancelled with those
     TEAMS = ({"name": "red", "cpus": 20, "cpus_max": 60}, {"name": "blue", "cpus": 0})
 
     def close_look(self, name: str) -> None:
-        """Also while whatever made the event may still be under way to some controller."""
+        """Query also while the event may not yet have reached some controller."""
         super().close_look(name)
         if self.now < self.close_until:
             for member in self.members:
-                for _ in range(LOOKS):
-                    self.spawn(self._look_in(name, member, self.rng.uniform(0.0, OPEN_S)))
+                for _ in range(QUERIES):
+                    self.spawn(self._query_later(name, member, self.rng.uniform(0.0, OPEN_S)))
 
-    async def _look_in(self, name: str, member: str, after: float) -> None:
+    async def _query_later(self, name: str, member: str, after: float) -> None:
         await asyncio.sleep(after)
         if self.up(member):
             await (self.submit if self.rng.random() < 0.2 else self.look)(name, member)
@@ -71,67 +72,75 @@
 
     async def answers_lost(self, until: float, share: float) -> None:
         while self.now < until:
-            self.store.unanswered = (self.now + SPELL_S, share)
-            await asyncio.sleep(2 * SPELL_S)
+            self.store.unanswered = (self.now + LOSS_PERIOD_S, share)
+            await asyncio.sleep(2 * LOSS_PERIOD_S)
 
 
-Trouble = Callable[[Close, str], Awaitable[None]]
+Trouble = Callable[[CloseQueries, str], Awaitable[None]]
 
 
-async def _none(world: Close, lead: str) -> None:
+async def _no_fault(world: CloseQueries, leader: str) -> None:
     pass
 
 
-async def _ended(world: Close, lead: str) -> None:
-    await world.restart(lead, 5.0)
+async def _leader_restarts(world: CloseQueries, leader: str) -> None:
+    await world.restart(leader, 5.0)
 
 
-async def _back_at_once(world: Close, lead: str) -> None:
-    await world.restart(lead, 0.1)
+async def _leader_restarts_at_once(world: CloseQueries, leader: str) -> None:
+    await world.restart(leader, 0.1)
 
 
-async def _refused(world: Close, lead: str) -> None:
-    world.store.refused[lead] = world.now + TROUBLE_S
+async def _leader_refused(world: CloseQueries, leader: str) -> None:
+    world.store.refused[leader] = world.now + FAULT_S
 
 
-async def _cut_off(world: Close, lead: str) -> None:
-    world.isolate(lead, TROUBLE_S, False)
+async def _cut_off(world: CloseQueries, leader: str) -> None:
+    world.isolate(leader, FAULT_S, False)
 
 
-async def _handed(world: Close, lead: str) -> None:
-    node = world.nodes[lead]
+async def _handover(world: CloseQueries, leader: str) -> None:
+    node = world.nodes[leader]
     assert node is not None
     while not await _give(world, node):
         await asyncio.sleep(0.2)
-        if world.nodes[lead] is not node or not node.leadership.token:
+        if world.nodes[leader] is not node or not node.leadership.token:
             return
 
 
-async def _slow(world: Close, lead: str) -> None:
-    world.store.slow = (0.1, world.now + TROUBLE_S)
+async def _slow_store(world: CloseQueries, leader: str) -> None:
+    world.store.slow = (0.1, world.now + FAULT_S)
 
 
-TROUBLES: list[Trouble] = [_none, _ended, _back_at_once, _refused, _cut_off, _handed, _slow]
+TROUBLES: list[Trouble] = [
+    _no_fault,
+    _leader_restarts,
+    _leader_restarts_at_once,
+    _leader_refused,
+    _cut_off,
+    _handover,
+    _slow_store,
+]
 
 
-def _play(seed: int, trouble: Trouble, lost: float) -> Close:
-    """One story; the world that it was, after all jobs are over."""
-    worlds: list[Close] = []
+def _play(seed: int, trouble: Trouble, lost: float) -> CloseQueries:
+    """Run one simulation until all jobs are finished, and return its world."""
+    worlds: list[CloseQueries] = []
 
     async def story(world: World) -> None:
-        assert isinstance(world, Close)
+        assert isinstance(world, CloseQueries)
         worlds.append(world)
         await _until(world, 20.0, lambda: _leader(world) is not None)
-        until = world.now + BOOT_S + LASTS_S
+        until = world.now + BOOT_S + QUERY_PERIOD_S
         world.spawn(world.jobs_come(until))
         await asyncio.sleep(BOOT_S)
         world.close_until = until
         world.at_end = (until, 0.3)
         world.spawn(world.answers_lost(until, lost))
-        await asyncio.sleep(LASTS_S / 2)
-        lead = _leader(world)
-        if lead is not None:
-            await trouble(world, lead.settings.member)
+        await asyncio.sleep(QUERY_PERIOD_S / 2)
+        leader = _leader(world)
+        if leader is not None:
+            await trouble(world, leader.settings.member)
         await asyncio.sleep(max(0.0, until - world.now))
         most = world.now + 90.0
         while world.failure is None and world.now < most:
@@ -140,15 +149,20 @@
             await asyncio.sleep(0.5)
         assert world.failure is not None or all(job["over"] for job in world.jobs.values())
 
-    tell(story, seed=seed, loss=LATE_PART, kind=Close)
+    tell(story, seed=seed, loss=DELAYED_SHARE, kind=CloseQueries)
     return worlds[0]
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.8])
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_no_answer_is_older_than_what_any_node_had_told(trouble: Trouble, lost: float) -> None:
+    """A controller that answers from an outdated book or read would take back a told status.
+
+    That comes about while the outcome of a commit is unknown, in which some controllers see its
+    effect and others don't, most of all around a change of leader.
+    """
     world = _play(11, trouble, lost)
-    # It came about: many events were looked at, of all three kinds; answers were lost.
+    # The case occurred: many events of all three kinds were queried, and responses were lost.
     over = [job["over"] for job in world.jobs.values()]
     assert world.looked > 60 and world.called_off > 6
     assert over.count("done") > 10 and over.count("withdrawn") > 10
@@ -156,18 +170,18 @@
     assert not lost or all(kinds.get(kind) for kind in ("cg/in/", "cg/end/", "cg/log/")), kinds
 
 
-# -- each answer, while just one commit is open ---------------------------------------------
+# -- each answer, while a single commit is in progress ---------------------------------------
 
 
-class Held(Close):
-    """Loses all answers of transactions that write a kind of key; they are executed at once."""
+class LostResponses(CloseQueries):
+    """Loses the responses of transactions that write a kind of key, but executes them at once."""
 
     LOSS = 0.0
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.holds: Callable[[dict[str, Any]], bool] = lambda op: False
-        self.executed = 0  # transactions whose answers were lost
+        self.executed = 0  # transactions whose responses were lost
         plain = self.store.handle
 
         async def handle(
@@ -184,67 +198,68 @@
         self.store.handle = handle  # type: ignore[method-assign]
 
     def known(self, spec: dict[str, Any]) -> str:
-        """A job that some user knows of."""
+        """Register a job as known to users and return its name."""
         name = str(spec["nameId"])
         self.jobs[name] = {"spec": spec, "aborted": None, "accepted": True, "over": None}
         self.jobs[name] |= {"at": self.now, "replicas": set()}
         return name
 
     async def begun(self, name: str) -> None:
-        """A job is accepted and runs."""
+        """Submit a job and wait until it runs."""
         await _until(self, 5.0, lambda: self.failure is None)
         while (answer := await self.submit(name)) is None or answer[0] not in (200, 201):
             await asyncio.sleep(0.2)
         await _until(self, 60.0, lambda: self.of_job(name))
 
 
-def _is(prefix: str, word: str = "") -> Callable[[dict[str, Any]], bool]:
-    """Whether an operation writes a key of a kind, with a word in what it writes."""
+def _writes(prefix: str, word: str = "") -> Callable[[dict[str, Any]], bool]:
+    """Return a predicate: an operation writes a key with a prefix, and its value has a text."""
     return lambda op: (
         str(op.get("write", "")).startswith(prefix)
         and word in msgspec.json.encode(op["v"]).decode()
     )
 
 
-async def _by_all(world: Held, name: str, status: str) -> None:
-    """Whoever can't ask the leader reads it; then all controllers say so, and at once."""
-    lead = _leader(world)
-    assert lead is not None
-    first = lead.settings.member
+async def _check_all_agree(world: LostResponses, name: str, status: str) -> None:
+    """Check that a controller cut off from the leader reads the status, and all then agree."""
+    leader = _leader(world)
+    assert leader is not None
+    first = leader.settings.member
     alone, third = [member for member in world.members if member != first]
-    world.cut({alone}, {first}, 30.0, False)  # it has to read
+    world.cut({alone}, {first}, 30.0, False)  # so that it has to read the records
     answer = None
     begun = world.now
     while answer is None or answer[0] != 200:
         assert world.now < begun + 3.0, answer
         answer = await world.look(name, alone)
     assert answer[1]["status"] == status and world.executed
-    leads = lead.job_api.term
-    assert leads is not None and leads.writer.fates.of(name), "its commit is open"
+    term = leader.job_api.term
+    assert term is not None and term.writer.fates.of(name), "its commit is open"
     again = {"GET": world.look, "POST": world.submit}
     for member in (first, third, alone):
         for what, ask in again.items():
             answer = await ask(name, member)
             assert answer is not None and answer[0] in (200, 201), (member, what, answer)
             assert answer[1]["status"] == status, (member, what, answer)
-            assert leads.writer.fates.of(name) or status in FINAL_STATUSES, "still open"
+            assert term.writer.fates.of(name) or status in FINAL_STATUSES, "still open"
 
 
-async def _accepted_unheard(world: Held) -> None:
-    """The leader's batch is executed; the job is accepted, named by others, and cancelled."""
+async def _accept_response_lost(world: LostResponses) -> None:
+    """The response to the leader's batch is lost; its job is accepted, depended on, cancelled."""
     name = world.known(world.job(1))
-    world.holds = _is(BATCH_PREFIX)
-    lead = _leader(world)
-    assert lead is not None
-    first = lead.settings.member
+    world.holds = _writes(BATCH_PREFIX)
+    leader = _leader(world)
+    assert leader is not None
+    first = leader.settings.member
     world.spawn(world.submit(name, first))
     await asyncio.sleep(0.3)
-    await _by_all(world, name, "pending")
-    heir = world.known(world.job(2) | {"waitsOn": [name], "jobclass": "heirs"})
-    term = lead.job_api.term
+    await _check_all_agree(world, name, "pending")
+    dependent = world.known(world.job(2) | {"waitsOn": [name], "jobclass": "heirs"})
+    term = leader.job_api.term
     assert term is not None and name in term.book.admissions
-    answer = await world.submit(heir, first)
-    assert answer is not None and answer[0] in (201, 503), answer  # known: never 422
+    answer = await world.submit(dependent, first)
+    # The dependency is known, so the answer must never be 422.
+    assert answer is not None and answer[0] in (201, 503), answer
     world.jobs[name]["asked"] = True
     aborts = [world.spawn(world.abort(name, member)) for member in world.members[:2]]
     await asyncio.sleep(0.3)
@@ -255,38 +270,38 @@
     await world.call_off(name)
 
 
-async def _ended_unheard(world: Held) -> None:
+async def _end_response_lost(world: LostResponses) -> None:
     name = world.known(world.job(1))
     await world.begun(name)
-    world.holds = _is(END_PREFIX, "done")
+    world.holds = _writes(END_PREFIX, "done")
     await _until(world, 60.0, lambda: world.completed(name) and world.executed)
-    await _by_all(world, name, "done")
+    await _check_all_agree(world, name, "done")
 
 
-async def _cancelled_unheard(world: Held) -> None:
+async def _cancel_response_lost(world: LostResponses) -> None:
     name = world.known(world.job(1) | {"expectedS": 30.0})
     await world.begun(name)
-    world.holds = _is(BATCH_PREFIX, '"aborted":true')
+    world.holds = _writes(BATCH_PREFIX, '"aborted":true')
     world.jobs[name]["asked"] = True
     world.spawn(world.abort(name))
     await _until(world, 5.0, lambda: world.executed)
-    await _by_all(world, name, "withdrawn")
+    await _check_all_agree(world, name, "withdrawn")
 
 
-async def _cancelled_by_its_own(world: Held) -> None:
-    """A job has two records, since the first was unheard; the second says that it is cancelled."""
+async def _cancelled_in_own_record(world: LostResponses) -> None:
+    """A job has two records, as the first response was lost; the second says it is cancelled."""
     name = world.known(world.job(1) | {"expectedS": 30.0})
-    lead = _leader(world)
-    assert lead is not None
-    first = lead.settings.member
+    leader = _leader(world)
+    assert leader is not None
+    first = leader.settings.member
     other = next(member for member in world.members if member != first)
-    world.holds = _is(BATCH_PREFIX)
+    world.holds = _writes(BATCH_PREFIX)
     world.spawn(world.submit(name, first))
     await _until(world, 5.0, lambda: world.executed)
     world.cut({other}, {first}, 1.5, False)
     await world.submit(name, other)
     await _until(world, 5.0, lambda: JOB_PREFIX + name in world.store.keys)
-    term = lead.job_api.term
+    term = leader.job_api.term
     assert term is not None
     await _until(world, 5.0, lambda: name in term.jobs and name in term.book.admissions)
     world.jobs[name]["asked"] = True
@@ -299,21 +314,21 @@
         assert answer is not None and answer[1].get("status") == "withdrawn", answer
     world.holds = lambda op: False
     while name in term.book.admissions:
-        world.spawn(world.submit(name, first))  # waits with it until its batch is heard of
+        world.spawn(world.submit(name, first))  # waits until the outcome of its batch is known
         await asyncio.sleep(0.1)
     await asyncio.sleep(2.0)
 
 
-async def _cancelled_by_its_batch(world: Held) -> None:
-    """A job's batch says that it is cancelled; it gets a second record that does not."""
+async def _cancelled_in_batch(world: LostResponses) -> None:
+    """A job's batch says that it is cancelled, but a second record of it does not."""
     name = world.known(world.job(1) | {"expectedS": 30.0})
     await world.begun(name)
-    lead = _leader(world)
-    assert lead is not None
-    first = lead.settings.member
+    leader = _leader(world)
+    assert leader is not None
+    first = leader.settings.member
     other = next(member for member in world.members if member != first)
     for host, _ in world.of_job(name):
-        world.loop.freeze(host.name, world.now + 6.0)  # it is not over before that
+        world.loop.freeze(host.name, world.now + 6.0)  # so that it does not end before that
     world.jobs[name]["asked"] = True
     while world.jobs[name]["over"] is None:
         await world.abort(name, first)
@@ -325,13 +340,13 @@
     assert JOB_PREFIX + name in world.store.keys and END_PREFIX + name not in world.store.keys
 
 
-async def _over_between_two_reads(world: Held) -> None:
-    """The same; its end, which removes both records, falls between two reads of the record."""
-    await _cancelled_by_its_batch(world)
+async def _ends_between_two_scans(world: LostResponses) -> None:
+    """As above, and the end, which removes both records, comes between two scans."""
+    await _cancelled_in_batch(world)
     name = "run-000001"
-    lead = _leader(world)
-    assert lead is not None
-    third = world.nodes[[m for m in world.members if m != lead.settings.member][-1]]
+    leader = _leader(world)
+    assert leader is not None
+    third = world.nodes[[m for m in world.members if m != leader.settings.member][-1]]
     assert third is not None
     plain, scans = third.ledger.scan, list[str]()
 
@@ -350,34 +365,35 @@
     assert answer[1]["status"] == "withdrawn" and scans[:2] == [JOB_PREFIX, BATCH_PREFIX], answer
 
 
-Story = Callable[[Held], Awaitable[None]]
-STORIES: list[Story] = [_accepted_unheard, _ended_unheard, _cancelled_unheard]
-STORIES += [_cancelled_by_its_own, _cancelled_by_its_batch]
-STORIES.append(_over_between_two_reads)
+Story = Callable[[LostResponses], Awaitable[None]]
+STORIES: list[Story] = [_accept_response_lost, _end_response_lost, _cancel_response_lost]
+STORIES += [_cancelled_in_own_record, _cancelled_in_batch]
+STORIES.append(_ends_between_two_scans)
 
 
-def _held(story: Story, seed: int = 3) -> None:
+def _run_story(story: Story, seed: int = 3) -> None:
     async def begun(world: World) -> None:
-        assert isinstance(world, Held)
+        assert isinstance(world, LostResponses)
         await _until(world, 20.0, lambda: _leader(world) is not None)
         await story(world)
 
     with Patch.context() as patch:
-        # Nobody looks at what was written: the commit is open for as long as it can be.
+        # The leader does not read back its writes, so the commit stays open as long as possible.
         patch.setattr(constants, "LOOK_TIMES", 1e6)
-        tell(begun, seed=seed, loss=0.0, kind=Held)
+        tell(begun, seed=seed, loss=0.0, kind=LostResponses)
 
 
 @pytest.mark.parametrize("story", STORIES)
 def test_a_commit_whose_answer_is_lost_is_told_by_all_once_one_has(story: Story) -> None:
-    _held(story)
+    """A lost response leaves the leader's book older than what others read and tell users."""
+    _run_story(story)
 
 
-# -- bugs put in on purpose ---------------------------------------------------------------
+# -- deliberate bugs, which the checks above have to find ----------------------------------
 
 
 def _always_pending(patch: Patch) -> None:
-    """A submission is answered by what was true when its commit was sent."""
+    """A submission is answered with the status from when its commit was sent."""
 
     async def admit(self: Book, value: JobValue, timeout: float) -> bool:
         name = value.spec.nameId
@@ -416,7 +432,7 @@
 
 
 def _unknown_while_it_is_admitted(patch: Patch) -> None:
-    """Who asks or aborts hears that the book lacks the job, though its commit is open."""
+    """Queries and aborts get "unknown job" although the commit of the job is in progress."""
     account, abort = Term.account, Term.abort
 
     def without(self: Term, name: str) -> Account:
@@ -430,7 +446,7 @@
 
 
 def _own_key_only(patch: Patch) -> None:
-    """A job's own record is taken for all there is of it."""
+    """Only a job's own record is read, not its batch."""
     scan = RecordReader._scan_records
 
     async def own(self: RecordReader, before: Any) -> dict[str, RecordSummary]:
@@ -451,7 +467,7 @@
 
 
 def _own_record_is_proof(patch: Patch) -> None:
-    """What the first scan has shown of a job is not looked at again."""
+    """What the first scan shows of a job is not checked again."""
     plain = RecordReader._scan_records
 
     async def once(self: RecordReader, before: Any) -> dict[str, RecordSummary]:
@@ -473,28 +489,30 @@
 def test_a_bug_in_what_is_told_is_found(
     bug: Callable[[Patch], None], rule: str, monkeypatch: Patch
 ) -> None:
+    """The random simulation has to detect each bug, else it would miss such a fault."""
     bug(monkeypatch)
     monkeypatch.setattr(constants, "LOOK_TIMES", 1e6)  # open commits stay open for longer
     with pytest.raises(Broken, match=rule):
         for seed in range(10):
-            _play(seed, _none, 0.8)
+            _play(seed, _no_fault, 0.8)
 
 
 @pytest.mark.parametrize(
     ("bug", "story"),
     [
-        (_unknown_while_it_is_admitted, _accepted_unheard),
-        (_book_while_the_end_is_open, _ended_unheard),
-        (_book_while_the_abort_is_open, _cancelled_unheard),
-        (_own_key_only, _accepted_unheard),
-        (_own_key_only, _cancelled_by_its_batch),
-        (_always_pending, _cancelled_by_its_own),
-        (_own_record_is_proof, _over_between_two_reads),
+        (_unknown_while_it_is_admitted, _accept_response_lost),
+        (_book_while_the_end_is_open, _end_response_lost),
+        (_book_while_the_abort_is_open, _cancel_response_lost),
+        (_own_key_only, _accept_response_lost),
+        (_own_key_only, _cancelled_in_batch),
+        (_always_pending, _cancelled_in_own_record),
+        (_own_record_is_proof, _ends_between_two_scans),
     ],
 )
 def test_a_bug_is_found_by_the_commit_that_it_is_about(
     bug: Callable[[Patch], None], story: Story, monkeypatch: Patch
 ) -> None:
+    """Each bug has to fail in the scenario of the commit that it concerns."""
     bug(monkeypatch)
     with pytest.raises((Broken, AssertionError)):
-        _held(story)
+        _run_story(story)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,6 +1,6 @@
-"""The real edge on loopback: HTTP server and client, peer links, /metrics, start and end.
+"""Real sockets on loopback: HTTP server and client, peer links, /metrics, start and stop.
 
-No test reads the clock: each waits for something to happen, and fails if it never does.
+No test measures time: each waits for something to happen and fails if it never does.
 """
 
 import asyncio
@@ -32,11 +32,11 @@
 from chalkgrade.serving.daemon import Daemon
 from chalkgrade.settings import Settings
 
-HANG_S = 20.0  # far beyond what anything here takes: only against a test that never ends
+HANG_S = 20.0  # bounds a test that would never end; far more than any test takes
 
 
 class _Region:
-    """A state service and a cloud on loopback, from the tests' world."""
+    """The simulated state service and cloud, served over HTTP on loopback."""
 
     ROOMS: dict[Any, int] = {}
     FLAVORS = Ground.FLAVORS
@@ -62,11 +62,11 @@
 
 
 def _ports(count: int) -> list[int]:
-    taken = [socket.socket() for _ in range(count)]
-    for one in taken:
+    sockets = [socket.socket() for _ in range(count)]
+    for one in sockets:
         one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in taken]
-    for one in taken:
+    ports = [one.getsockname()[1] for one in sockets]
+    for one in sockets:
         one.close()
     return ports
 
@@ -97,12 +97,12 @@
 
 
 @asynccontextmanager
-async def _running(members: int) -> AsyncIterator[tuple[list[Daemon], HttpClient]]:
+async def _running_daemons(members: int) -> AsyncIterator[tuple[list[Daemon], HttpClient]]:
     settings = _settings(members)
     region = _Region(settings[0])
     server = web.Server(region.handle, access_log=None)
     port = int(settings[0].endpoints.state.rpartition(":")[2])
-    listening = await asyncio.get_running_loop().create_server(server, "127.0.0.1", port)
+    listener = await asyncio.get_running_loop().create_server(server, "127.0.0.1", port)
     expiring = asyncio.create_task(region.expire())
     daemons = [Daemon(one) for one in settings]
     client = HttpClient()
@@ -117,16 +117,16 @@
             await daemon.stop()
         await client.close()
         expiring.cancel()
-        listening.close()
+        listener.close()
         await server.shutdown(0.1)
 
 
-async def _until(true: Callable[[], object]) -> None:
-    while not true():
+async def _until(condition: Callable[[], object]) -> None:
+    while not condition():
         await asyncio.sleep(0.02)
 
 
-def _play(story: Callable[[], Awaitable[None]]) -> None:
+def _run_bounded(story: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(HANG_S):
             await story()
@@ -134,7 +134,7 @@
     uvloop.run(bounded())
 
 
-def _hello(host: str) -> bytes:
+def _report_body(host: str) -> bytes:
     report = {"host": host, "tenure": 1, "seq": 1, "baton": 0, "hosttype": "small", "site": "a"}
     return json.dumps(report).encode()
 
@@ -161,10 +161,14 @@
 
 
 def test_two_controllers_serve_and_one_takes_over() -> None:
-    """Start, submit at the follower, /metrics, reports, the leader's end, the same job again."""
+    """Start, submission at the follower, /metrics, a worker's report, and a takeover.
+
+    Guards against faults of the real server and client that the simulation can't show, such as
+    a job that the next leader does not know after the first one has stopped.
+    """
 
     async def story() -> None:
-        async with _running(2) as (daemons, client):
+        async with _running_daemons(2) as (daemons, client):
             leader = next(d for d in daemons if d.node.term is not None)
             follower = next(d for d in daemons if d is not leader)
             at = follower.settings.bind
@@ -174,12 +178,12 @@
             assert reply.status == 400
             reply = await client.call(at, "POST", "/v2/runs", b" " * 70_000, 9.0)
             assert reply.status == 400
-            told: dict[str, str] = {}
-            while not told:  # until the follower has heard of the leader from itself
-                reply = await client.call(at, "POST", "/hello", _hello("host-000001"), 9.0)
+            redirect: dict[str, str] = {}
+            while not redirect:  # until the leader itself has told the follower that it leads
+                reply = await client.call(at, "POST", "/hello", _report_body("host-000001"), 9.0)
                 assert reply.status == 421
-                told = json.loads(reply.body)
-            assert told == {"reportsTo": leader.settings.member}
+                redirect = json.loads(reply.body)
+            assert redirect == {"reportsTo": leader.settings.member}
             page = await client.call(leader.settings.bind, "GET", "/metrics", None, 9.0)
             assert b"chalkgrade_leading 1.0" in page.body
             assert b'chalkgrade_tasks_standing{class="c",reason=' in page.body
@@ -190,11 +194,14 @@
             with pytest.raises(NoAnswer):
                 await client.call(leader.settings.bind, "GET", "/up", None, 9.0)
 
-    _play(story)
+    _run_bounded(story)
 
 
 def test_a_client_gives_up_on_answers_that_do_not_come() -> None:
-    """A server that accepts and is silent, one that sends half an answer, one that hangs up."""
+    """A server that accepts and stays silent, sends half a response, or closes the connection.
+
+    Each has to end in NoAnswer; otherwise the caller would wait for ever.
+    """
 
     async def story() -> None:
         half = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"
@@ -221,20 +228,24 @@
             await client.close()
             server.close()
 
-    _play(story)
+    _run_bounded(story)
 
 
 def test_unfinished_connections_cost_nobody_else_an_answer(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found by trying: 1,500 half bodies were kept for ever, each end logged a traceback."""
+    """2,000 incomplete requests must not stop other requests from being answered.
+
+    Without a limit 1,500 connections with incomplete bodies stayed open for ever, and each one
+    that ended logged a traceback.
+    """
     monkeypatch.setattr(constants, "UNFINISHED_NEW_S", 0.1)
     monkeypatch.setattr(constants, "GUARD_EVERY_S", 0.05)
     monkeypatch.setattr(constants, "IDLE_HOLD_S", 0.05)
     head = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\nhalf"
 
     async def story() -> None:
-        async with _running(2) as (daemons, client):
+        async with _running_daemons(2) as (daemons, client):
             leader = next(d for d in daemons if d.node.term is not None)
             follower = next(d for d in daemons if d is not leader)
             host, _, port = leader.settings.bind.rpartition(":")
@@ -248,7 +259,7 @@
                 await asyncio.gather(*(half(number) for number in range(start, start + 100)))
                 guard = leader.server.connection_guard
                 assert guard.count(ConnectionState.UNFINISHED) <= guard.unfinished_max
-                for path, body in (("/up", None), ("/hello", _hello(f"host-{start:06d}"))):
+                for path, body in (("/up", None), ("/hello", _report_body(f"host-{start:06d}"))):
                     method = "GET" if body is None else "POST"
                     reply = await client.call(leader.settings.bind, method, path, body, 9.0)
                     assert reply.status == 200
@@ -268,19 +279,22 @@
             monkeypatch.setattr(constants, "TELL_EVERY_S", 0.0)
             await _until(lambda: any("connections ended" in r.message for r in caplog.records))
 
-    _play(story)
+    _run_bounded(story)
     lines = [r for r in caplog.records if "connections ended" in r.message]
     assert lines and "crowded" in lines[0].message
     assert not [r for r in caplog.records if r.exc_info]
 
 
 def test_the_guard_keeps_its_bounds_whatever_happens() -> None:
-    """Seeded random connections: never a worker's or a busy one ended, bounds kept, none lost."""
+    """Random connections: no worker's and no busy one is closed, limits hold, none is lost.
+
+    A guard that miscounts would close connections in use, or let them exceed the sockets.
+    """
     for seed in range(20):
         rng, clock = random.Random(seed), HandClock()
         ended: list[int] = []
         guard: ConnectionGuard[int] = ConnectionGuard(clock, ended.append, 1200)
-        alive: dict[int, str] = {}  # connection -> what it does, and for whom
+        alive: dict[int, str] = {}  # connection -> its state, and its kind of client
         for step in range(4000):
             clock.at += rng.choice([0.0, 0.0, 0.001, 0.3 if rng.random() < 0.02 else 0.0])
             key = rng.choice(list(alive)) if alive and rng.random() < 0.6 else None
@@ -288,9 +302,9 @@
                 alive[step] = "half"
                 guard.connection_opened(step)
             elif alive[key] == "half" and rng.random() < 0.3:
-                use = rng.choice([*RequestKind][1:])
-                assert guard.request_received(key, use) or use in BUSY_USER_REQUESTS_MAX
-                alive[key] = "busy user" if use in BUSY_USER_REQUESTS_MAX else "busy worker"
+                kind = rng.choice([*RequestKind][1:])
+                assert guard.request_received(key, kind) or kind in BUSY_USER_REQUESTS_MAX
+                alive[key] = "busy user" if kind in BUSY_USER_REQUESTS_MAX else "busy worker"
             elif alive[key].startswith("busy"):
                 alive[key] = alive[key].replace("busy", "idle")
                 guard.request_answered(key)
@@ -310,91 +324,106 @@
             assert len(guard) == len(alive) <= guard.connections_max
 
 
-class _Crowd:
-    """Connections to one guard, each of which does what its kind does."""
+class _Clients:
+    """Opens and uses connections of given kinds at one guard."""
 
     def __init__(self, sockets: int) -> None:
         self.clock = HandClock()
         self.guard: ConnectionGuard[int] = ConnectionGuard(self.clock, self._ended, sockets)
-        self.uses: dict[int, RequestKind] = {}
+        self.kinds: dict[int, RequestKind] = {}
         self.ended: list[RequestKind] = []
         self.number = 0
 
     def _ended(self, key: int) -> None:
-        self.ended.append(self.uses.pop(key))
+        self.ended.append(self.kinds.pop(key))
 
-    def open(self, use: RequestKind) -> int:
+    def open(self, kind: RequestKind) -> int:
         self.number += 1
-        self.uses[self.number] = use
+        self.kinds[self.number] = kind
         self.guard.connection_opened(self.number)
         return self.number
 
     def ask(self, key: int) -> bool:
-        if key not in self.uses:
+        if key not in self.kinds:
             return False
         self.guard.data_received(key)
-        if self.guard.request_received(key, self.uses[key]):
+        if self.guard.request_received(key, self.kinds[key]):
             return True
-        self.guard.connection_closed(key)  # refused, and closed by the answer
-        del self.uses[key]
+        self.guard.connection_closed(key)  # refused, so the answer closes the connection
+        del self.kinds[key]
         return False
 
 
 @pytest.mark.parametrize("storm", [RequestKind.UNKNOWN, RequestKind.SUBMISSION, RequestKind.QUERY])
-def test_a_storm_of_2000_connections_leaves_900_workers_theirs(storm: RequestKind) -> None:
-    """Workers keep or get connections, and are answered; submissions give way first."""
-    crowd = _Crowd(1532)
-    guard = crowd.guard
-    workers = [crowd.open(RequestKind.REPORT) for _ in range(900)]
-    assert all(crowd.ask(key) for key in workers)  # all come back at once
+def test_a_flood_of_2000_connections_leaves_900_workers_theirs(storm: RequestKind) -> None:
+    """Workers keep or get connections and are answered, whatever 2,000 other clients send.
+
+    Otherwise a flood of user requests would cost workers their leases.
+    """
+    clients = _Clients(1532)
+    guard = clients.guard
+    workers = [clients.open(RequestKind.REPORT) for _ in range(900)]
+    assert all(clients.ask(key) for key in workers)  # all reconnect at once
     for key in workers:
         guard.request_answered(key)
     refused = 0
     for number in range(2000):
-        crowd.clock.at += 0.0005
-        key = crowd.open(storm)
+        clients.clock.at += 0.0005
+        key = clients.open(storm)
         if storm is not RequestKind.UNKNOWN:
-            refused += not crowd.ask(key)
+            refused += not clients.ask(key)
         if number % 100 == 50:
-            for use in (RequestKind.REPORT, RequestKind.ABORT, RequestKind.HEALTH):
-                key = crowd.open(use)
-                assert crowd.ask(key), use
+            for kind in (RequestKind.REPORT, RequestKind.ABORT, RequestKind.HEALTH):
+                key = clients.open(kind)
+                assert clients.ask(key), kind
                 guard.request_answered(key)
-            assert crowd.ask(workers[number // 3])
+            assert clients.ask(workers[number // 3])
             guard.request_answered(workers[number // 3])
         assert len(guard) <= guard.connections_max
-    assert RequestKind.REPORT not in crowd.ended
+    assert RequestKind.REPORT not in clients.ended
     if storm is not RequestKind.UNKNOWN:
         assert refused == 2000 - BUSY_USER_REQUESTS_MAX[storm]
 
 
-def test_submissions_are_refused_before_questions_and_aborts_last() -> None:
-    crowd = _Crowd(1532)
-    first: dict[RequestKind, int] = {}
+def test_submissions_are_refused_before_queries_and_aborts_last() -> None:
+    """Under overload a user must still be able to abort jobs, and reports are never refused."""
+    clients = _Clients(1532)
+    first_refused: dict[RequestKind, int] = {}
     for number in range(2000):
-        use = [RequestKind.SUBMISSION, RequestKind.QUERY, RequestKind.ABORT, RequestKind.REPORT][
+        kind = [RequestKind.SUBMISSION, RequestKind.QUERY, RequestKind.ABORT, RequestKind.REPORT][
             number % 4
         ]
-        if not crowd.ask(crowd.open(use)):
-            first.setdefault(use, number)
-    assert first[RequestKind.SUBMISSION] < first[RequestKind.QUERY] < first[RequestKind.ABORT]
-    assert RequestKind.REPORT not in first or first[RequestKind.REPORT] > first[RequestKind.ABORT]
+        if not clients.ask(clients.open(kind)):
+            first_refused.setdefault(kind, number)
+    assert (
+        first_refused[RequestKind.SUBMISSION]
+        < first_refused[RequestKind.QUERY]
+        < first_refused[RequestKind.ABORT]
+    )
+    assert (
+        RequestKind.REPORT not in first_refused
+        or first_refused[RequestKind.REPORT] > first_refused[RequestKind.ABORT]
+    )
 
 
 def test_more_workers_than_sockets_share_them() -> None:
-    """Found at three times the fleet: 1,779 workers, each keeping one of 1,532 sockets."""
-    crowd = _Crowd(1532)
-    guard, there = crowd.guard, dict[int, int]()
+    """1,779 workers share 1,532 sockets.
+
+    If each kept its connection the rest would get none, so connections close after an answer
+    when sockets are short.
+    """
+    clients = _Clients(1532)
+    guard, connections = clients.guard, dict[int, int]()
     answered = 0
     for _ in range(3):
         for worker in range(1779):
-            crowd.clock.at += 5.0 / 1779
-            if there.get(worker) not in crowd.uses:
-                there[worker] = crowd.open(RequestKind.REPORT)
-            answered += crowd.ask(there[worker])
-            guard.request_answered(there[worker])
+            clients.clock.at += 5.0 / 1779
+            if connections.get(worker) not in clients.kinds:
+                connections[worker] = clients.open(RequestKind.REPORT)
+            answered += clients.ask(connections[worker])
+            guard.request_answered(connections[worker])
             if guard.is_crowded():
-                guard.connection_closed(there[worker])
-                crowd.uses.pop(there[worker])
+                guard.connection_closed(connections[worker])
+                clients.kinds.pop(connections[worker])
             assert len(guard) <= guard.connections_max
-    assert answered == 3 * 1779 and not crowd.ended
+    assert answered == 3 * 1779 and not clients.ended
--- a/tests/test_netstrings.py
+++ b/tests/test_netstrings.py
@@ -1,4 +1,4 @@
-"""Framing between controllers: whole, split, and hostile."""
+"""Netstring framing between controllers: complete, split and invalid streams."""
 
 import random
 
@@ -8,16 +8,17 @@
 from chalkgrade.serving.netstrings import FramingError, NetstringDecoder, encode_netstring
 
 
-def test_messages_survive_any_cutting() -> None:
+def test_messages_are_decoded_however_the_stream_is_split() -> None:
+    """TCP may split a stream anywhere, also within a length prefix or a character."""
     rng = random.Random(7)
     messages = [{"q": "ping", "n": n, "text": "ü:," * rng.randrange(40)} for n in range(50)]
     stream = b"".join(encode_netstring(message) for message in messages)
-    reader, got, at = NetstringDecoder(), [], 0
+    reader, decoded, at = NetstringDecoder(), [], 0
     while at < len(stream):
         step = rng.randrange(1, 60)
-        got += reader.feed(stream[at : at + step])
+        decoded += reader.feed(stream[at : at + step])
         at += step
-    assert got == messages
+    assert decoded == messages
 
 
 @pytest.mark.parametrize(
@@ -34,6 +35,7 @@
         b"%d:" % (constants.NETSTRING_MAX + 1),
     ],
 )
-def test_broken_streams_are_refused(data: bytes) -> None:
+def test_invalid_streams_are_refused(data: bytes) -> None:
+    """Otherwise a faulty peer could make the decoder buffer without limit or lose its place."""
     with pytest.raises(FramingError):
         NetstringDecoder().feed(data)
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -1,4 +1,7 @@
-"""Requests that make no sense: one plain error, nothing accepted, nothing forgotten by it."""
+"""Invalid submissions: each gets one plain error, and nothing of them is accepted.
+
+Nor may a job that was accepted be refused later because the settings have changed.
+"""
 
 import asyncio
 from typing import Any
@@ -14,24 +17,24 @@
 from chalkgrade.serving.job_api import JobApi
 from test_gap import _long
 from test_membership import _leader, _until
-from test_placement_rentals import spec as made
+from test_placement_rentals import spec as make_spec
 
 GOOD = _long(1, 2)
-OF_TEXT = ("nameId", "jobclass", "owner", "shape", "urgency", "bundle")
-OF_NUMBER = ("vcpus", "gpus", "memoryGb", "pullGb", "expectedS", "savepointS", "flushS")
-OF_CHOICE = ("oneZone", "spread", "standby")
-MAY_BE_NULL = ("hosttypes", "site", "dueS")
+TEXT_FIELDS = ("nameId", "jobclass", "owner", "shape", "urgency", "bundle")
+NUMBER_FIELDS = ("vcpus", "gpus", "memoryGb", "pullGb", "expectedS", "savepointS", "flushS")
+BOOLEAN_FIELDS = ("oneZone", "spread", "standby")
+OPTIONAL_FIELDS = ("hosttypes", "site", "dueS")
 
 
-def _wrong() -> list[tuple[str, Any]]:
-    """Each field in turn with what it must not be."""
+def _invalid_fields() -> list[tuple[str, Any]]:
+    """Return each field in turn with values that it must not have."""
     out: list[tuple[str, Any]] = []
     for field in NEEDED:
         out += [(field, None), (field, []), (field, {})]
-    out += [(field, 7) for field in OF_TEXT]
-    for field in OF_NUMBER:
+    out += [(field, 7) for field in TEXT_FIELDS]
+    for field in NUMBER_FIELDS:
         out += [(field, -0.5), (field, "1"), (field, True), (field, 1e9)]
-    out += [(field, value) for field in OF_CHOICE for value in (0, 1, "true")]
+    out += [(field, value) for field in BOOLEAN_FIELDS for value in (0, 1, "true")]
     out += [("tasks", value) for value in (0, -1, 100_001, 1.5, True, "3", 10**30)]
     out += [("hosttypes", value) for value in ("small", [None], [7], {"small": 1})]
     out += [("site", value) for value in (7, ["a"], True)]
@@ -41,32 +44,35 @@
     return out
 
 
-def _plain(error: str) -> bool:
+def _is_plain_error(error: str) -> bool:
     return 0 < len(error) < 200 and "\n" not in error and "Traceback" not in error
 
 
-@pytest.mark.parametrize(("field", "value"), _wrong())
+@pytest.mark.parametrize(("field", "value"), _invalid_fields())
 def test_a_field_that_is_wrong_is_named(field: str, value: Any) -> None:
+    """A wrong type or range must neither be accepted nor reported without the field's name."""
     with pytest.raises(Invalid) as found:
         parse_submission(msgspec.json.encode(GOOD | {field: value}), 16 * 1024)
-    assert field in str(found.value) and _plain(str(found.value))
+    assert field in str(found.value) and _is_plain_error(str(found.value))
 
 
 @pytest.mark.parametrize("field", NEEDED)
 def test_a_field_that_is_missing_is_named(field: str) -> None:
+    """A required field must not get a default silently."""
     rest = {key: value for key, value in GOOD.items() if key != field}
     with pytest.raises(Invalid, match=field) as found:
         parse_submission(msgspec.json.encode(rest), 16 * 1024)
-    assert _plain(str(found.value))
+    assert _is_plain_error(str(found.value))
 
 
-def test_what_may_be_null_may_be_left_out() -> None:
-    rest = {key: value for key, value in GOOD.items() if key not in MAY_BE_NULL}
+def test_optional_fields_may_be_left_out() -> None:
+    """A field that may be null must not be required."""
+    rest = {key: value for key, value in GOOD.items() if key not in OPTIONAL_FIELDS}
     assert parse_submission(msgspec.json.encode(rest), 16 * 1024).hosttypes is None
 
 
 DEEP = b"[" * 30_000
-RAW = [
+INVALID_BODIES = [
     b"", b"null", b"[]", b"{}", b"\xff", b"{" + DEEP, DEEP,
     msgspec.json.encode(GOOD)[:-1] + b',"novelty":' + DEEP + b"]" * 30_000 + b"}",
     msgspec.json.encode(GOOD) + b"x",
@@ -76,17 +82,18 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("raw", RAW)
-def test_what_is_no_submission_is_one_plain_error(raw: bytes) -> None:
-    """Also what is nested so deep that the decoder gives up with an error of its own kind."""
+@pytest.mark.parametrize("raw", INVALID_BODIES)
+def test_an_invalid_body_gets_one_plain_error(raw: bytes) -> None:
+    """Includes input nested so deeply that the decoder raises an error of another class."""
     with pytest.raises(Invalid) as found:
         parse_submission(raw, 16 * 1024)
-    assert _plain(str(found.value))
+    assert _is_plain_error(str(found.value))
 
 
-# What no machine, zone or team can take: the region's machines have 16 CPUs and 64 GB at most,
-# all "large" spot machines are in zone b as far as the cloud says both, red may use 20 CPUs.
-NEVER: list[tuple[str, dict[str, Any]]] = [
+# Jobs that fit no machine, zone or team, each with a word that the error has to contain. The
+# simulated machines have at most 16 CPUs and 64 GB, all "large" spot machines are in zone b where
+# the cloud offers both, and team red may use 20 CPUs.
+NEVER_RUNNABLE: list[tuple[str, dict[str, Any]]] = [
     ("owner", {"owner": "nobody"}),
     ("owner", {"owner": ""}),
     ("machine", {"vcpus": 17.0}),
@@ -104,43 +111,45 @@
     ("spread", {"shape": "service", "spread": True, "site": "a"}),
     ("spread", {"shape": "gang", "spread": True, "hosttypes": ["single"]}),
 ]
-RUNS: list[dict[str, Any]] = [
-    {"owner": "red", "tasks": 21},  # an array: one task counts
-    {"spread": True, "oneZone": True, "tasks": 4},  # half of it at a time
+RUNNABLE: list[dict[str, Any]] = [
+    {"owner": "red", "tasks": 21},  # tasks of a batch count one by one
+    {"spread": True, "oneZone": True, "tasks": 4},  # at most half of its tasks run at a time
     {"spread": True, "site": "a", "tasks": 4},
     {"shape": "service", "spread": True, "tasks": 1, "site": "a"},
     {"hosttypes": ["single"], "tasks": 3},
 ]
 
 
-class OneZoned(World):
-    """With a type of machine that one zone has."""
+class SingleZoneTypeWorld(World):
+    """A region with a machine type that only one zone has."""
 
     FLAVORS = (*World.FLAVORS, {**World.FLAVORS[0], "sku": "single", "sites": ["a"]})
     ROOMS = {**World.ROOMS, ("single", "a", True): 2}
 
 
 def test_what_can_never_run_is_refused_at_every_controller_and_is_nowhere() -> None:
+    """A job that can never run must be refused, not kept waiting; similar valid ones must run."""
+
     async def story(world: World) -> None:
         number = 0
-        for named, changes in NEVER:
+        for named, changes in NEVER_RUNNABLE:
             for member in world.members:
                 number += 1
                 body = GOOD | {"nameId": f"run-{number:06d}"} | changes
                 answer = await world.request("users", member, "POST", "/v2/runs", body, 5.0)
                 assert answer[0] == 422 and named in answer[1]["error"], (changes, answer)
-                assert _plain(answer[1]["error"])
+                assert _is_plain_error(answer[1]["error"])
                 name = body["nameId"]
                 found = await world.request("users", member, "GET", f"/v2/runs/{name}", b"", 5.0)
                 assert found[0] == 404
-        for raw in RAW:
+        for raw in INVALID_BODIES:
             for member in world.members:
-                status, said = await world.request("users", member, "POST", "/v2/runs", raw, 5.0)
-                assert status == 400 and _plain(said["error"])
+                status, answer = await world.request("users", member, "POST", "/v2/runs", raw, 5.0)
+                assert status == 400 and _is_plain_error(answer["error"])
         node = _leader(world)
         assert node is not None and node.term is not None and not node.term.jobs
         jobs = []
-        for changes in RUNS:
+        for changes in RUNNABLE:
             number += 1
             jobs.append(GOOD | {"nameId": f"run-{number:06d}", "expectedS": 4.0} | changes)
             world.spawn(world.user(jobs[-1], 60.0 if changes.get("shape") else None))
@@ -150,21 +159,24 @@
         if world.failure is not None:
             raise world.failure
 
-    tell(story, 6, loss=0.0, kind=OneZoned)
+    tell(story, 6, loss=0.0, kind=SingleZoneTypeWorld)
 
 
 def test_both_zone_rules_of_a_job_hold_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All in one zone, and at most half of all in any: found by reading; half runs at a time."""
-    both = made(oneZone=True, spread=True, tasks=4)
+    """`oneZone` and `spread` together: all in one zone, so only half of the tasks run at a time.
+
+    The job would break `spread` if only `oneZone` were applied once a zone is chosen.
+    """
+    both = make_spec(oneZone=True, spread=True, tasks=4)
     assert zones_open(both, {"a": 1}, ["a", "b"]) == {"a"}
     assert zones_open(both, {"a": 2}, ["a", "b"]) == set()
     assert zones_open(both, {}, ["a", "b"]) == {"a", "b"}
 
-    def one_of_them(spec: Any, held: dict[str, int], zones: Any) -> set[str]:
+    def one_zone_only(spec: Any, held: dict[str, int], zones: Any) -> set[str]:
         used = {zone for zone, count in held.items() if count}
         return used if used else set(zones)
 
-    monkeypatch.setattr("chalkgrade.sharing.gates.zones_open", one_of_them)
+    monkeypatch.setattr("chalkgrade.sharing.gates.zones_open", one_zone_only)
 
     async def story(world: World) -> None:
         world.spawn(world.user(_long(1, 4) | {"oneZone": True, "spread": True}, None))
@@ -180,13 +192,17 @@
 def test_accepted_jobs_are_known_whatever_the_settings_become(
     bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Their team's limit falls below one task, the team goes: repeated, they are no 422."""
+    """A team's limit falls below one task, and another team is removed from the settings.
+
+    Submitted again, jobs that were accepted before must get their status and not 422, else
+    their users would take them for refused.
+    """
     if bug:
 
-        async def told(self: JobApi, name: str, answer: Any) -> Any:
+        async def without_lookup(self: JobApi, name: str, answer: Any) -> Any:
             return answer
 
-        monkeypatch.setattr(JobApi, "_unless_accepted", told)
+        monkeypatch.setattr(JobApi, "_unless_accepted", without_lookup)
 
     async def story(world: World) -> None:
         jobs = [_long(1, 2) | {"owner": "red", "vcpus": 4.0}, _long(2, 2), _long(3, 30)]
@@ -208,7 +224,7 @@
         new = _long(9, 1)
         answer = await world.request("users", "n-0", "POST", "/v2/runs", new, 5.0)
         assert answer[0] == 422 and "unknown team" in answer[1]["error"]
-        # What ran goes on, and nothing else stands still with what can't start any more.
+        # Running tasks continue, and jobs that can't start any more don't block others.
         free = _long(10, 2) | {"owner": "green", "expectedS": 3.0}
         monkeypatch.setitem(world._teams, "green", world._teams["blue"])
         world.spawn(world.user(free, None))
