--- a/src/chalkgrade/serving/cancellation_poll.py
+++ b/src/chalkgrade/serving/cancellation_poll.py
@@ -25,25 +25,25 @@
 log = logging.getLogger("chalkgrade.testimony")
 
 
-class AnnouncedCancellations:
-    """The cancellations that this process has told users, with the time of the first telling."""
+class Told:
+    """The cancellations that this process has told users, and when it first did."""
 
     def __init__(self, clock: Clock) -> None:
         """The list is complete from now on."""
         self._clock = clock
         self._complete_since = clock.now()  # the list is complete from this time on
-        self._announced_at: OrderedDict[str, float] = OrderedDict()  # job -> time
+        self._names: OrderedDict[str, float] = OrderedDict()  # job -> time
 
     def note_answer(self, status: int, body: dict[str, Any]) -> None:
         """Note an answer to a user before it is sent."""
         if status not in (200, 201) or body.get("status") != "withdrawn":
             return
         name = str(body.get("nameId", ""))
-        if name in self._announced_at:
+        if name in self._names:
             return
-        self._announced_at[name] = self._clock.now()
-        while len(self._announced_at) > constants.TOLD_KEPT:
-            _, self._complete_since = self._announced_at.popitem(last=False)
+        self._names[name] = self._clock.now()
+        while len(self._names) > constants.TOLD_KEPT:
+            _, self._complete_since = self._names.popitem(last=False)
 
     def announced_within(self, ago_s: float) -> list[str] | None:
         """Return the cancellations told within the last `ago_s` seconds, or None if incomplete.
@@ -54,7 +54,7 @@
         begin = self._clock.now() - ago_s * (1 + constants.CLOCK_DRIFT) - constants.TOLD_SLACK_S
         if begin <= self._complete_since:
             return None
-        return [name for name, at in self._announced_at.items() if at >= begin]
+        return [name for name, at in self._names.items() if at >= begin]
 
 
 class CancellationPoll:
@@ -69,7 +69,7 @@
         term: Callable[[], Term | None],
     ) -> None:
         """`others`: the other configured controllers; `term`: this node's term, while it leads."""
-        self.announced = AnnouncedCancellations(clock)
+        self.announced = Told(clock)
         self._clock = clock
         self._peers = peers
         self._others = others
--- a/src/chalkgrade/serving/dependency_check.py
+++ b/src/chalkgrade/serving/dependency_check.py
@@ -32,7 +32,7 @@
     ) -> None:
         """`tell` returns a job's status as users get it."""
         self.ledger = ledger
-        self.final_states = finals  # job -> final state, as far as this node knows
+        self.finals = finals  # job -> final state, as far as this node knows
         self.read_unfinished_jobs = records
         self.job_status = tell
 
@@ -62,7 +62,7 @@
         for name, shape in shapes.items():
             if shape == SERVICE_SHAPE:
                 return f"waitsOn: {name} is a service, which is never done"
-        unresolved = [name for name in names if name not in known and name not in self.final_states]
+        unresolved = [name for name in names if name not in known and name not in self.finals]
         # One commit replaces a job's record by its final state: both keys are read together.
         keys = [prefix + name for name in unresolved for prefix in (JOB_PREFIX, END_PREFIX)]
         found = await self.ledger.present(keys)
--- a/src/chalkgrade/serving/job_api.py
+++ b/src/chalkgrade/serving/job_api.py
@@ -83,16 +83,16 @@
         self.flavors = flavors
         self.term: Term | None = None
         self.teams = {team.name: team for team in settings.cluster.teams}
-        self.final_states: OrderedDict[str, dict[str, Any]] = OrderedDict()
+        self.finals: OrderedDict[str, dict[str, Any]] = OrderedDict()
         self.record_reader = RecordReader(
-            ledger, self.final_states, self.remember_final_state, self.last_leader_answers
+            ledger, self.finals, self.remember_final_state, self.last_leader_answers
         )
         self.status_resolver = StatusResolver(
-            self.record_reader, self.final_states, self._status_from_leader
+            self.record_reader, self.finals, self._status_from_leader
         )
         self.dependency_check = DependencyCheck(
             ledger,
-            self.final_states,
+            self.finals,
             self.record_reader.read_unfinished_jobs,
             self.status_resolver.job_status,
         )
@@ -100,9 +100,9 @@
     def remember_final_state(self, name: str, status: str, done: int) -> dict[str, Any]:
         """Store a final state, which never changes, and return the answer for it."""
         answer = {"nameId": name, "status": status, "done": done, "running": 0}
-        self.final_states[name] = answer
-        while len(self.final_states) > constants.FINAL_CACHE:
-            self.final_states.popitem(last=False)
+        self.finals[name] = answer
+        while len(self.finals) > constants.FINAL_CACHE:
+            self.finals.popitem(last=False)
         self.last_leader_answers.pop(name, None)
         return answer
 
@@ -168,7 +168,7 @@
             return await self._unless_accepted(name, (400, {"error": str(error)}))
         except Invalid as error:
             return 400, {"error": str(error)}
-        known = self.final_states.get(spec.nameId)
+        known = self.finals.get(spec.nameId)
         if known is not None:
             return 200, known
         try:
@@ -326,7 +326,7 @@
 
     async def answer_as_leader(self, what: str, name: str) -> Answer:
         """Answer a status query or an abort as the leader, from the job book."""
-        known = self.final_states.get(name)
+        known = self.finals.get(name)
         if known is not None:
             return 200, known
         term = self.term
@@ -345,7 +345,7 @@
 
     async def abort(self, name: str) -> Answer:
         """Handle POST /v2/runs/{id}/abort."""
-        known = self.final_states.get(name)
+        known = self.finals.get(name)
         if known is not None:
             return 200, known
         if not is_id(name):
--- a/src/chalkgrade/serving/job_status.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -38,12 +38,12 @@
     ) -> None:
         """`finals`: job -> final state, as far as this node knows."""
         self.record_reader = reading
-        self.final_states = finals
+        self.finals = finals
         self.ask_leader = leader
 
     async def job_status(self, name: str) -> Answer:
         """Return a job's status."""
-        known = self.final_states.get(name)
+        known = self.finals.get(name)
         if known is not None:
             return 200, known
         return self.prefer_final_state(await self.resolve_answer(name, await self.ask_leader(name)))
@@ -69,5 +69,5 @@
     def prefer_final_state(self, answer: Answer) -> Answer:
         """Replace an answer by the job's final state, if that became known meanwhile."""
         status, body = answer
-        known = self.final_states.get(str(body.get("nameId", "")))
+        known = self.finals.get(str(body.get("nameId", "")))
         return answer if known is None else (status, known)
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -397,7 +397,7 @@
             return (200, {"up": True}) if self.accepts_users() else (503, {"up": False})
         if path == "/v2/runs" or path.startswith("/v2/runs/"):
             status, answer = await self._handle_user_request(method, path, body)
-            # Noted before the answer is sent, so that no told cancellation is missing.
+            # Noted before the answer is sent, so that the list of told cancellations is complete.
             self.cancellation_poll.announced.note_answer(status, answer)
             return status, answer
         return 404, {"error": "no such resource"}
--- a/src/chalkgrade/serving/record_reader.py
+++ b/src/chalkgrade/serving/record_reader.py
@@ -68,7 +68,7 @@
         counts: Mapping[str, dict[str, Any]],
     ) -> None:
         self.ledger = ledger
-        self.final_states = finals  # job -> final state, as far as this node knows
+        self.finals = finals  # job -> final state, as far as this node knows
         self.remember_final_state = remember
         self.last_leader_answers = counts  # job -> the leader's last answer
         self.lookups = Lookups(ledger)
@@ -273,7 +273,7 @@
 
     async def _final_status(self, name: str) -> str | None:
         """Return a job's final status, or None if it is not finished."""
-        known = self.final_states.get(name)
+        known = self.finals.get(name)
         if known is not None:
             return str(known["status"])
         row = await self.ledger.get(END_PREFIX + name)
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -126,7 +126,7 @@
     plain = JobApi.query
 
     async def query(self: JobApi, name: str) -> tuple[int, dict[str, Any]]:
-        if self.term is None and name in self.last_leader_answers and name not in self.final_states:
+        if self.term is None and name in self.last_leader_answers and name not in self.finals:
             return 200, self.last_leader_answers[name]
         return await plain(self, name)
 
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -217,7 +217,7 @@
             world.store._apply([{"write": END_PREFIX + one, "v": end}])
         spec = _long(1) | {"waitsOn": [f"run-{number:06d}" for number in range(2000, 3200)]}
         for member in world.members:
-            world.nodes[member].job_api.final_states.clear()
+            world.nodes[member].job_api.finals.clear()
             answer = await world.request("users", member, "POST", "/v2/runs", spec, 5.0)
             assert answer[0] == 200 and answer[1]["status"] == "done"
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,7 +15,7 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.serving.cancellation_poll import AnnouncedCancellations
+from chalkgrade.serving.cancellation_poll import Told
 from chalkgrade.state.leadership import Leadership
 from chalkgrade.state.shelter import Shelter
 from gap_model import Rules, State, walk
@@ -404,7 +404,7 @@
 
 
 def _nothing_listed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(AnnouncedCancellations, "announced_within", lambda self, ago_s: [])
+    patch.setattr(Told, "announced_within", lambda self, ago_s: [])
 
 
 def _not_believed(patch: pytest.MonkeyPatch) -> None:
@@ -451,7 +451,7 @@
 
 def test_a_process_lists_only_what_it_can_know_whole() -> None:
     clock = HandClock()
-    told = AnnouncedCancellations(clock)
+    told = Told(clock)
     clock.at += 10.0
     told.note_answer(200, {"nameId": "run-1", "status": "withdrawn"})
     told.note_answer(200, {"nameId": "run-2", "status": "running"})
