--- a/src/chalkgrade/serving/dependency_check.py
+++ b/src/chalkgrade/serving/dependency_check.py
@@ -1,6 +1,6 @@
 """Checks the jobs that a submission depends on: whether they were ever accepted.
 
-The sources are final states, which never change; the leader's job book while its lease is
+The sources are final states, which never change; the leader's job registry while its lease is
 valid; and otherwise reads of the state service that start after the request arrived.
 """
 
@@ -41,7 +41,7 @@
 
         Raises NoAnswer when that can't be determined now. A leader with a valid lease knows all
         unfinished jobs except those that another node has just accepted under a key of their
-        own; so its book is used first and the read finds the others.
+        own; so its registry is used first and the read finds the others.
         """
         if term is not None and term.live():
             jobs = term.jobs
--- a/src/chalkgrade/serving/job_api.py
+++ b/src/chalkgrade/serving/job_api.py
@@ -1,7 +1,7 @@
 """The job API for users: submissions, queries and aborts, at any controller.
 
 Any controller can commit a submission, on the condition that the job does not exist yet. The
-status of an unfinished job comes from the leader's job book or from a read of the state service
+status of an unfinished job comes from the leader's job registry or from a read of the state service
 that starts after the request; otherwise the answer is 503, because an older status must never
 follow a newer one.
 """
@@ -294,7 +294,7 @@
         return await self._ask_leader("status", name, constants.PEER_TIMEOUT_S / 2)
 
     async def _ask_leader(self, what: str, name: str, timeout: float) -> Answer:
-        """Ask the leader, which may be this node; 404 only means that its book lacks the job."""
+        """Ask the leader, maybe this node; 404 means only that its registry lacks the job."""
         if self.term is not None and self.term.live():
             return await self.answer_as_leader(what, name)
         leader = self.leadership.leader
@@ -325,7 +325,7 @@
         )
 
     async def answer_as_leader(self, what: str, name: str) -> Answer:
-        """Answer a status query or an abort as the leader, from the job book."""
+        """Answer a status query or an abort as the leader, from the job registry."""
         known = self.finals.get(name)
         if known is not None:
             return 200, known
--- a/src/chalkgrade/serving/job_status.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -4,9 +4,9 @@
 be durable counts as told already. So every answer comes from one of these sources, each of them
 used after the request arrived:
 - a final state, which never changes;
-- the leader's job book, while its lease is valid (`Term.account`). If a commit that would change
-  the answer is in progress, the keys that it writes are read: if it was executed, other
-  controllers may have told its result; if not, nobody can have and the book is right;
+- the leader's job registry, while its lease is valid (`Term.account`). If a commit that would
+  change the answer is in progress, the keys that it writes are read: if it was executed, other
+  controllers may have told its result; if not, nobody can have and the registry is right;
 - a read of the job records (`record_reader`).
 If none is available the user has to retry (503). An answer that was on its way for long is no
 older than its request; but if the job is known to be finished by then, that is sent instead.
@@ -49,7 +49,7 @@
         return self.prefer_final_state(await self.resolve_answer(name, await self.ask_leader(name)))
 
     async def resolve_answer(self, name: str, said: Answer) -> Answer:
-        """Complete the leader's answer `said`; 404 means that its book does not have the job."""
+        """Complete the leader's answer `said`; 404 means that its registry lacks the job."""
         status, body = said
         if status == 200:
             return said
--- a/src/chalkgrade/serving/links.py
+++ b/src/chalkgrade/serving/links.py
@@ -60,6 +60,7 @@
     """Protocol of a connection that carries netstrings."""
 
     def __init__(self) -> None:
+        """The connection is not open yet."""
         self._reader = NetstringDecoder()
         self.transport: asyncio.Transport | None = None
 
@@ -98,6 +99,7 @@
     """Client side: matches responses to requests by their request_id `n`."""
 
     def __init__(self) -> None:
+        """No request is pending."""
         super().__init__()
         self._request_ids = itertools.count(1)
         self._pending: dict[int, asyncio.Future[dict[str, Any]]] = {}
--- a/src/chalkgrade/serving/netstrings.py
+++ b/src/chalkgrade/serving/netstrings.py
@@ -24,6 +24,7 @@
     """Incremental decoder: splits a byte stream into messages."""
 
     def __init__(self) -> None:
+        """Start with an empty buffer."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
--- a/src/chalkgrade/serving/record_reader.py
+++ b/src/chalkgrade/serving/record_reader.py
@@ -67,6 +67,7 @@
         remember: RememberFinalState,
         counts: Mapping[str, dict[str, Any]],
     ) -> None:
+        """`remember` stores a final state; `finals` and `counts` are kept by the job API."""
         self.ledger = ledger
         self.finals = finals  # job -> final state, as far as this node knows
         self.remember_final_state = remember
@@ -78,7 +79,7 @@
         self._pending_reads: dict[str, asyncio.Task[Row | None]] = {}
 
     async def read_status(self, name: str, absent_at_leader: bool) -> Answer:
-        """Read a job's status; `absent_at_leader`: the leader answered that its book lacks the job.
+        """Read a job's status; `absent_at_leader`: the leader has answered that it lacks the job.
 
         The final key is read last, because one commit replaces the other records by it. Only the
         leader writes batches, so a job that it does not know is in no batch that existed before
@@ -118,7 +119,7 @@
         """Determine a job's status while commits of the leader are in progress.
 
         `told`: the leader's answer, which is right if none of the commits was executed by now;
-        None if its book does not have the job. `keys`: the keys that show whether they were. As
+        None if its registry does not have the job. `keys`: the keys that show whether they were. As
         in `read_status` the final key is read last, because it replaces the other records.
         """
         in_book, check_final_key = told is not None, False
@@ -135,7 +136,7 @@
                 # Whether a dependency was cancelled shows only in all records.
                 return await self.read_status(name, absent_at_leader=False)
             elif not in_book:
-                # The leader's book lacks the job, so nobody can have aborted it: its record is
+                # The leader's registry lacks the job, so nobody can have aborted it: its record is
                 # all there is.
                 return 200, await self._unfinished_job_answer(record, {name: record})
         if check_final_key or not in_book:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("story", STORIES)
 def test_a_commit_whose_answer_is_lost_is_told_by_all_once_one_has(story: Story) -> None:
-    """A lost response leaves the leader's book older than what others read and tell users."""
+    """A lost response leaves the leader's registry older than what others read and tell users."""
     _run_story(story)
 
 
