--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -11,7 +11,7 @@
 
 from chalkgrade import constants
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.membership.fitness import WORKERS
+from chalkgrade.membership.leader_health import WORKERS
 from chalkgrade.region.day import Day, Fault, Kind, Room, Work
 from chalkgrade.region.fleet import FleetWorld, play_day
 from chalkgrade.region.rules import SERVED_LEAST
@@ -73,7 +73,7 @@
     for name, value in names.items():
         setattr(constants, name, value)
     usable = Fleet.usable
-    Fleet.usable = lambda self, machine: machine.baton in (0, self.token) and usable(self, machine)  # type: ignore[method-assign]
+    Fleet.usable = lambda self, machine: machine.token in (0, self.token) and usable(self, machine)  # type: ignore[method-assign]
     try:
         yield
     finally:
@@ -174,8 +174,10 @@
             assert node is not None
             for other in world.nodes.values():
                 if other is not None:
-                    other.handover.direct_at = other.clock.now()  # the proof that is asked for
-            giving = world.spawn(world.within(member, node.handover.give(WORKERS)))
+                    other.handover.direct_report_at = (
+                        other.clock.now()
+                    )  # the proof that is asked for
+            giving = world.spawn(world.within(member, node.handover.transfer_lead(WORKERS)))
             acted, vacant = world.now, 0.0
             while not giving.done() or not _acting(world):
                 await asyncio.sleep(0.001)
@@ -193,7 +195,7 @@
 
 def _acting(world: World) -> list[str]:
     nodes = world.nodes.items()
-    return [m for m, node in nodes if node is not None and node.leadership.acting()]
+    return [m for m, node in nodes if node is not None and node.leadership.may_act()]
 
 
 def run(seed: int) -> dict[str, Any]:
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -11,8 +11,8 @@
 
 from chalkgrade import constants
 from chalkgrade.experiments.licences import plain_settings
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.moves import part
 from chalkgrade.moves.optimum import optimum
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan, plan_many
@@ -23,8 +23,8 @@
 from chalkgrade.region.world import World, close
 from chalkgrade.renting.boots import Boots
 from chalkgrade.settings import Team
-from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.queues import Queues
+from chalkgrade.sharing.term_context import TermContext
 
 BEFORE, SMALL = 15, 75  # small jobs, those of the first minute among them
 FIRST_S, LARGE, EVERY_S, SERVICE_S, END_S = 75.0, 3, 70.0, 400.0, 1500.0
@@ -296,19 +296,19 @@
 
     for number in range(machines):
         name = f"host-{number:06d}"
-        fleet.take(Report(name, 1, 1, 1, "big", "a"))
+        fleet.accept_report(Report(name, 1, 1, 1, "big", "a"))
         made = job(number, tasks // machines)
         for index in range(14):
             attempt = made.place(index, name)
-            attempt.state, attempt.since = "running", clock.now()
-            fleet.hold(attempt)
+            attempt.state, attempt.running_since = "running", clock.now()
+            fleet.attach_attempt(attempt)
     for number in range(large):
         job(900_000 + number, 1, urgency="high", vcpus=12.0, memoryGb=20.0, savepointS=0.0)
     clock.at += 10.0
     office: Any = SimpleNamespace(settings=settings, clock=clock)
     book: Any = SimpleNamespace(jobs=jobs)
     renter: Any = SimpleNamespace(boots=Boots())
-    domain = Domain(office, book, fleet, queues, flavors, lambda: True)
+    domain = TermContext(office, book, fleet, queues, flavors, lambda: True)
     moves = part.Moves(
         domain, MoveSettings(per_minute=6000.0), renter, lambda job, count: count, lambda _: False
     )
@@ -317,7 +317,7 @@
         clock.at += constants.MOVE_RETRY_S
         for machine in fleet.machines.values():
             machine.reported_at = clock.at
-        moves.gate.begin(jobs.values(), clock.at)
+        moves.gate.begin_round(jobs.values(), clock.at)
         began = time.process_time()
         moves._look()
         took, looks = took + time.process_time() - began, looks + 1
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from chalkgrade.experiments.licences import plain_settings
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report, TaskReport
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.optimum import Stage, optimum
 from chalkgrade.pipelines.slack import inherit
@@ -20,7 +20,7 @@
 from chalkgrade.region.loop import HandClock
 from chalkgrade.settings import Team
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.rounds import Round
+from chalkgrade.sharing.rounds import SchedulingRound
 
 MACHINES, CPUS = 3, 4
 STEP_S = 10.0
@@ -102,7 +102,7 @@
                 if until[attempt.name, attempt.number] <= step:
                     job.finish(attempt, True)
                     fleet.machines[attempt.machine].detach(attempt)
-            if job.complete:
+            if job.is_complete:
                 ends[int(name[4:])] = step
                 over[name] = "done"
                 del jobs[name]
@@ -112,18 +112,18 @@
             name = f"host-{number}"
             known = fleet.machines.get(name)
             tasks = [TaskReport(t, n) for t, n in (known.attempts if known is not None else {})]
-            fleet.take(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
-        inherit(graph, queues.dues, lambda job: queues.run_s(job))
+            fleet.accept_report(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
+        inherit(graph, queues.due_times, lambda job: queues.expected_run_s(job))
         named = {team.name: team for team in teams}
-        Round(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
+        SchedulingRound(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
         for job in jobs.values():
             for attempt in job.live.values():
                 if (attempt.name, attempt.number) not in until:
                     steps = case.stages[int(job.name[4:])].steps
                     until[attempt.name, attempt.number] = step + steps
-                    attempt.since = clock.now()
+                    attempt.running_since = clock.now()
         log.pending.clear()
-        log.ended.clear()
+        log.undurable_ends.clear()
         step += 1
         clock.at += STEP_S
     return outcome(case, ends)
@@ -144,7 +144,7 @@
     )  # fmt: skip
     job = jobs[made.nameId] = Job(JobValue(made, clock.wall() + number * 1e-3), 1, log)
     if waits:
-        job.hold()
+        job.block()
     else:
         queues.observe_submission(job)
     graph.enter(job, clock.wall())
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -1,136 +1,170 @@
-"""Reports and their answers: what a report surely says, and the orders that go with it."""
+"""Handles workers' reports: updates the record's view of attempts and returns orders."""
 
 from collections.abc import Callable
 from typing import Any
 
 from chalkgrade import constants
 from chalkgrade.leading import images
-from chalkgrade.leading.scheduling import Scheduling
+from chalkgrade.leading.scheduling import RoundScheduler
 from chalkgrade.machines.fleet import Machine, Report, orders
 from chalkgrade.record.jobs import Attempt
-from chalkgrade.sharing.domain import Domain
+from chalkgrade.sharing.term_context import TermContext
 
-Ended = Callable[[Machine | None, Attempt, str], None]
+AttemptEndedCallback = Callable[[Machine | None, Attempt, str], None]
 
 
-class Reports:
-    """Answers workers under one token."""
+class ReportHandler:
+    """Handles workers' reports during one term."""
 
     def __init__(
         self,
-        domain: Domain,
-        scheduling: Scheduling,
-        took_in: Callable[[Machine, bool], None],
-        ended: Ended,
+        term_context: TermContext,
+        scheduling: RoundScheduler,
+        on_report_accepted: Callable[[Machine, bool], None],
+        on_attempt_ended: AttemptEndedCallback,
     ) -> None:
-        self.office = domain.office
-        self.leadership = domain.office.leadership
-        self.clock = domain.office.clock
-        self.book = domain.book
-        self.fleet = domain.fleet
-        self.flavors = domain.flavors
-        self.live = domain.live
+        self.context = term_context.context
+        self.leadership = term_context.context.leadership
+        self.clock = term_context.context.clock
+        self.registry = term_context.registry
+        self.fleet = term_context.fleet
+        self.flavors = term_context.flavors
+        self.is_serving = term_context.is_serving
         self.scheduling = scheduling
-        self.took_in = took_in  # a newest report was taken in; whether it was the first
-        self.ended = ended  # an attempt is over; its cause, or empty
+        # Called with the machine of an accepted report and whether it was its first one.
+        self.on_report_accepted = on_report_accepted
+        # Called with the end cause, empty if the attempt is proven absent.
+        self.on_attempt_ended = on_attempt_ended
 
-    async def hello(self, report: Report, relayed: bool = False) -> tuple[int, dict[str, Any]]:
-        """Answer one report; one that another controller carries is held for less long."""
-        if report.baton > self.office.token:
-            self.leadership.heard(report.baton)
+    async def handle_report(
+        self, report: Report, relayed: bool = False
+    ) -> tuple[int, dict[str, Any]]:
+        """Answers one report with an HTTP status and a body.
+
+        Status 421 means that this controller may not answer now, as it does not lead or its
+        lease is no longer proven. A report relayed by another controller is held for a
+        shorter time, which must fit into the relay's own time limit.
+        """
+        if report.baton > self.context.token:
+            self.leadership.observe_token(report.baton)
             return 421, {}
         received_at = self.clock.now()
         known = self.fleet.machines.get(report.host)
         first = known is None or known.reported_at is None
-        machine = self.fleet.take(report)
-        answer: dict[str, Any] = {"baton": self.office.token, "orders": []}
+        machine = self.fleet.accept_report(report)
+        answer: dict[str, Any] = {"baton": self.context.token, "orders": []}
         if machine is None:
             return 200, answer
-        self.took_in(machine, first)
-        if machine.name in self.book.images:
-            images.hint(machine, self.book.images.pop(machine.name), self.clock)
+        self.on_report_accepted(machine, first)
+        if machine.name in self.registry.image_hints:
+            images.add_recorded_images(
+                machine, self.registry.image_hints.pop(machine.name), self.clock
+            )
         self._reconcile(machine)
-        if self.live():
-            await self._hold(machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S)
-        if not self.leadership.sheltering() or self.leadership.token != self.office.token:
+        if self.is_serving():
+            await self._wait_for_decisions(
+                machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S
+            )
+        if not self.leadership.may_renew_workers() or self.leadership.token != self.context.token:
             return 421, {}
         current = (machine.tenure, machine.seq) == (report.tenure, report.seq)
         machine.answered_at = self.clock.now()
-        useless = machine.releasing or machine.hearing.deaf
+        useless = machine.releasing or machine.response_tracker.responses_lost
         answer["orders"] = orders(
             machine,
-            self._forgettable(machine),
+            self._forgettable_attempts(machine),
             self.clock,
-            launches=current and self.live() and not useless,
+            launches=current and self.is_serving() and not useless,
         )
         if current:
-            machine.hearing.answers((report.tenure, report.seq), received_at, self.clock.now())
+            machine.response_tracker.on_response_sent(
+                (report.tenure, report.seq), received_at, self.clock.now()
+            )
         return 200, answer
 
-    async def _hold(self, machine: Machine, idle_s: float) -> None:
-        """Wait shortly for a round and its commit, so that launches go with this answer.
+    async def _wait_for_decisions(self, machine: Machine, idle_s: float) -> None:
+        """Waits briefly for a round and its commit, so that this answer carries the launches.
 
-        A machine with nothing to do is held for longer: it has nothing to tell,
-        and work that comes meanwhile need not wait for its next report.
+        The report of an idle machine is held for up to `idle_s`: it has nothing to report
+        meanwhile, and new work need not wait for its next report.
         """
-        machine.open += 1
+        machine.open_reports += 1
         try:
             deadline = self.clock.now() + constants.ANSWER_HOLD_S
             if self.scheduling.wants_work(machine):
-                self.scheduling.wanted.set()
-                await self.scheduling.done.wait(deadline - self.clock.now())
+                self.scheduling.round_requested.set()
+                await self.scheduling.round_finished.wait(deadline - self.clock.now())
             if not machine.attempts and not machine.tasks and self.fleet.usable(machine):
-                await machine.given.wait(idle_s)
+                await machine.work_assigned.wait(idle_s)
                 deadline = self.clock.now() + constants.ANSWER_HOLD_S
-            while self.live() and not all(a.durable for a in machine.attempts.values()):
-                if not await self.book.committed.wait(deadline - self.clock.now()):
+            while self.is_serving() and not all(a.is_durable for a in machine.attempts.values()):
+                if not await self.registry.committed.wait(deadline - self.clock.now()):
                     return
         finally:
-            machine.open -= 1
+            machine.open_reports -= 1
 
-    def _forgettable(self, machine: Machine) -> list[tuple[str, int]]:
-        """Ended tasks whose outcome is durable."""
+    def _forgettable_attempts(self, machine: Machine) -> list[tuple[str, int]]:
+        """Returns the ended tasks whose outcome is durable, which the worker may forget."""
         return [
             key
             for key, entry in machine.tasks.items()
             if entry.status == "ended"
             and key not in machine.attempts
-            and (key not in self.book.log.ended or key[0].rpartition("/")[0] not in self.book.jobs)
+            and (
+                key not in self.registry.oplog.undurable_ends
+                or key[0].rpartition("/")[0] not in self.registry.jobs
+            )
         ]
 
     def _reconcile(self, machine: Machine) -> None:
-        """Bring the book up to what a report surely says."""
+        """Updates the attempts of a machine with what its newest report proves."""
         now = self.clock.now()
         for key, attempt in list(machine.attempts.items()):
             entry = machine.tasks.get(key)
             if entry is None:
-                if not self.fleet.absent(machine, attempt):
+                if not self.fleet.is_surely_absent(machine, attempt):
                     continue
                 attempt.state = ""
-                stopped = attempt.kill_at is not None or attempt.job.aborted
-                if stopped or machine.releasing or machine.warned or machine.hearing.deaf:
-                    self.ended(machine, attempt, "")
+                stopped = attempt.kill_requested_at is not None or attempt.job.aborted
+                if (
+                    stopped
+                    or machine.releasing
+                    or machine.has_termination_notice
+                    or machine.response_tracker.responses_lost
+                ):
+                    self.on_attempt_ended(machine, attempt, "")
                 continue
             if entry.status == "ended":
-                if self.fleet.over(machine, attempt, entry.cause or ""):
-                    self.ended(machine, attempt, entry.cause or "unknown cause")
+                if self.fleet.is_surely_ended(machine, attempt, entry.cause or ""):
+                    self.on_attempt_ended(machine, attempt, entry.cause or "unknown cause")
                 continue
             if entry.status == "running" and attempt.state != "running":
-                attempt.since = now
+                attempt.running_since = now
             attempt.state = entry.status
             spec = attempt.job.spec
-            if spec.shape == "service" and attempt.since:
-                # Else two sick machines in its life would leave it short of replicas for ever.
-                attempt.job.ran |= now - attempt.since > constants.PROVEN_RUN_S
-            elif attempt.job.faulty:
-                # Two machines that were sick at once must not hold a sound job back for a run.
+            if spec.shape == "service" and attempt.running_since:
+                # Otherwise failures on two broken machines during its life would leave the
+                # service short of replicas for good.
+                attempt.job.has_run_long |= now - attempt.running_since > constants.PROVEN_RUN_S
+            elif attempt.job.is_faulty:
+                # Two machines that break at the same time must not hold back a sound job for the
+                # length of a run.
                 live = attempt.job.live.values()
-                ran = sum(bool(a.since) and now - a.since > constants.PROVEN_RUN_S for a in live)
-                attempt.job.trials = max(1, 2 * ran)
+                ran = sum(
+                    bool(a.running_since) and now - a.running_since > constants.PROVEN_RUN_S
+                    for a in live
+                )
+                attempt.job.probe_limit = max(1, 2 * ran)
             machine.image_gb[spec.bundle] = spec.pullGb
             if entry.status != "fetching":
-                images.holds(machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock)
-            if machine.warned and attempt.kill_at is None and spec.savepointS > 0:
-                attempt.kill_at = now  # save while the machine lasts
+                images.record_image_use(
+                    machine, spec.bundle, self.flavors.get(machine.hosttype), self.clock
+                )
+            if (
+                machine.has_termination_notice
+                and attempt.kill_requested_at is None
+                and spec.savepointS > 0
+            ):
+                attempt.kill_requested_at = now  # save before the machine is withdrawn
         if machine.attempts:
             machine.busy_at = now
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -1,4 +1,4 @@
-"""The rounds of a term, and what operators hear of them."""
+"""Runs the scheduling rounds of a term and reports their state to operators."""
 
 import asyncio
 import logging
@@ -6,68 +6,77 @@
 from collections.abc import Callable, Iterable
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample, gauge
+from chalkgrade.extensions.constraints import StartConstraint
+from chalkgrade.machines.flavors import Pool
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import Pool
 from chalkgrade.outside import Signal
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, gauge
-from chalkgrade.sharing.domain import Domain
-from chalkgrade.sharing.rounds import Round
-from chalkgrade.sharing.standing import Standing, line, standing
+from chalkgrade.sharing.rounds import SchedulingRound
+from chalkgrade.sharing.term_context import TermContext
+from chalkgrade.sharing.wait_reasons import (
+    WaitReasonCounts,
+    count_wait_reasons,
+    format_wait_reasons,
+)
 
 log = logging.getLogger("chalkgrade.scheduling")
 
 
-class Scheduling(Part):
-    """Plays rounds when something happened, at most `round_s` apart."""
+class RoundScheduler(Component):
+    """Runs a round after each relevant event, and at least every `round_s` seconds."""
 
     def __init__(
         self,
-        domain: Domain,
-        sweep: Callable[[], None],
-        refused: Callable[[], Iterable[Pool]],
+        term_context: TermContext,
+        expire_leases: Callable[[], None],
+        pools_without_capacity: Callable[[], Iterable[Pool]],
     ) -> None:
-        self.office = office = domain.office
-        self.clock = office.clock
-        self.book = domain.book
-        self.fleet = domain.fleet
-        self.queues = queues = domain.queues
-        self.flavors = domain.flavors
-        self.live = domain.live
-        self.sweep = sweep  # looks for attempts that are surely gone
-        self.refused = refused  # pools without capacity of late
-        self.outer: list[Gate] = []  # other parts' gates
-        self.teams = {team.name: team for team in office.settings.cluster.teams}
-        self.wanted = asyncio.Event()
-        self.done = Signal()
-        self.least_waiting = float("inf")  # CPUs of the smallest task that waited lately
+        self.context = context = term_context.context
+        self.clock = context.clock
+        self.registry = term_context.registry
+        self.fleet = term_context.fleet
+        self.queues = queues = term_context.queues
+        self.flavors = term_context.flavors
+        self.is_serving = term_context.is_serving
+        self.expire_leases = expire_leases  # ends attempts on machines whose lease is over
+        self.pools_without_capacity = pools_without_capacity  # as recently refused by the cloud
+        self.component_constraints: list[StartConstraint] = []  # of the term's components
+        self.teams = {team.name: team for team in context.settings.cluster.teams}
+        self.round_requested = asyncio.Event()
+        self.round_finished = Signal()
+        self.min_waiting_cpus = float("inf")  # CPUs of the smallest waiting task in the last round
         self.preempted_at = -1e9
-        self.told_at = -1e9
-        self.kept = queues.kept
-        self.loops = [self._loop]
+        self.status_logged_at = -1e9
+        self.persisted_values = queues.persisted_values
+        self.decision_loops = [self._loop]
 
-    # -- as a part ------------------------------------------------------------------
+    # -- component interface --------------------------------------------------------
 
     def start(self) -> None:
-        self.wanted.set()
+        """Requests the first round of the term."""
+        self.round_requested.set()
 
     def on_job(self, job: Job, fresh: bool) -> None:
-        if job.held:
-            return  # it comes again once it may run
+        """Requests a round for a job; a held job is announced again once it may run."""
+        if job.is_blocked:
+            return
         if fresh:
             self.queues.observe_submission(job)
-        self.least_waiting = 0.0  # until the next round knows
-        self.wanted.set()
+        self.min_waiting_cpus = 0.0  # unknown until the next round
+        self.round_requested.set()
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        # Of what an earlier leader started we have not seen the beginning: it would pass for short.
-        if cause == "done" and attempt.since and attempt.decided:
-            self.queues.observe_run(attempt.job, self.clock.now() - attempt.since)
-        self.wanted.set()
+        """Records the run time of a completed attempt and requests a round."""
+        # The start of an attempt launched by an earlier leader was not observed. Its run time
+        # would be underestimated.
+        if cause == "done" and attempt.running_since and attempt.placed_at:
+            self.queues.observe_run(attempt.job, self.clock.now() - attempt.running_since)
+        self.round_requested.set()
 
     def samples(self) -> Iterable[Sample]:
-        jobs = self.book.jobs.values()
+        """Returns the metrics of jobs, machines and tasks."""
+        jobs = self.registry.jobs.values()
         yield gauge("jobs", "Jobs that are not over", len(jobs))
         yield gauge("machines", "Machines known", len(self.fleet.machines))
         yield gauge("tasks_waiting", "Tasks without an attempt", sum(len(j.waiting) for j in jobs))
@@ -84,75 +93,79 @@
     async def _loop(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(self.office.settings.operator.round_s):
-                    await self.wanted.wait()
+                async with asyncio.timeout(self.context.settings.operator.round_s):
+                    await self.round_requested.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
+            self.round_requested.clear()
             began = self.clock.now()
-            if not self.live() and began - self.told_at >= constants.TELL_EVERY_S:
-                self.told_at = began
-                log.warning("nothing is started: %s", line(self.standing()) or "no lease")
-            if self.live():
-                self.sweep()
-                self._round(began)
-                waiting = (j.spec.vcpus for j in self.book.jobs.values() if len(j.waiting))
-                # Each report asks for it: once a round, not once a report and job.
-                self.least_waiting = min(waiting, default=float("inf"))
-                if self.book.log.pending or any(kept.dirty for kept in self.kept):
-                    self.book.flush_wanted.set()
-            self.done.fire()
-            # Rounds that take long must leave time for reports and users.
+            if not self.is_serving() and began - self.status_logged_at >= constants.TELL_EVERY_S:
+                self.status_logged_at = began
+                log.warning(
+                    "scheduling suspended: %s", format_wait_reasons(self.standing()) or "no lease"
+                )
+            if self.is_serving():
+                self.expire_leases()
+                self._run_round(began)
+                waiting = (j.spec.vcpus for j in self.registry.jobs.values() if len(j.waiting))
+                # Every report reads this, so it is computed once per round rather than per report.
+                self.min_waiting_cpus = min(waiting, default=float("inf"))
+                if self.registry.oplog.pending or any(
+                    kept.is_dirty for kept in self.persisted_values
+                ):
+                    self.registry.flush_wanted.set()
+            self.round_finished.fire()
+            # After a long round the loop sleeps in proportion, to leave time for reports and users.
             took = self.clock.now() - began
             await asyncio.sleep(max(constants.ROUND_MIN_S, constants.ROUND_REST * took))
 
-    def _round(self, now: float) -> None:
-        """Steps 4 to 7 on the room that reports."""
+    def _run_round(self, now: float) -> None:
+        """Runs one scheduling round on the machines that report (steps 4 to 7 of the protocol)."""
         preempt = now - self.preempted_at >= constants.PREEMPT_EVERY_S
         if preempt:
             self.preempted_at = now
-        plan = Round(
-            self.book.jobs,
+        plan = SchedulingRound(
+            self.registry.jobs,
             self.fleet,
             self.teams,
             self.flavors,
             self.queues,
             self.clock,
             preempt,
-            self.outer,
+            self.component_constraints,
         )
         placed = plan.run()
-        if placed or plan.stopped:
-            log.debug("round: placed %d, stopping %d", placed, plan.stopped)
-        if now - self.told_at >= constants.TELL_EVERY_S:
-            self.told_at = now
-            self._tell()
+        if placed or plan.preempted_count:
+            log.debug("round finished: placed %d, stopping %d", placed, plan.preempted_count)
+        if now - self.status_logged_at >= constants.TELL_EVERY_S:
+            self.status_logged_at = now
+            self._log_status()
 
     def wants_work(self, machine: Machine) -> bool:
-        """Whether a round may find something for a machine that has just reported."""
+        """Returns whether a round could place a task on a machine that has just reported."""
         flavor = self.flavors.get(machine.hosttype)
         if flavor is None or not self.fleet.usable(machine):
             return False
-        return machine.used[0] + self.least_waiting <= flavor.vcpus + 1e-9
+        return machine.used[0] + self.min_waiting_cpus <= flavor.vcpus + 1e-9
 
-    # -- what operators hear ----------------------------------------------------------
+    # -- status for operators -----------------------------------------------------------
 
-    def standing(self) -> Standing:
-        """How many tasks of each class wait, and for what."""
-        return standing(
-            self.book.jobs.values(),
+    def standing(self) -> WaitReasonCounts:
+        """Counts waiting tasks by job class and reason."""
+        return count_wait_reasons(
+            self.registry.jobs.values(),
             self.fleet,
             self.teams,
             self.flavors,
             self.queues,
-            self.refused(),
-            self.live(),
+            self.pools_without_capacity(),
+            self.is_serving(),
             self.clock.now(),
-            self.outer,
+            self.component_constraints,
         )
 
-    def _tell(self) -> None:
-        """One line for operators: what there is, what runs, what waits."""
+    def _log_status(self) -> None:
+        """Logs a summary of machines, attempts and waiting tasks, and why tasks wait."""
         states: dict[str, int] = defaultdict(int)
         waiting: dict[str, int] = defaultdict(int)
         usable = idle = 0
@@ -162,10 +175,10 @@
             idle += serves and not machine.attempts
             for attempt in machine.attempts.values():
                 states[f"{attempt.job.spec.jobclass} {attempt.state or 'sent'}"] += 1
-        for job in self.book.jobs.values():
+        for job in self.registry.jobs.values():
             waiting[job.spec.jobclass] += len(job.waiting)
         log.info(
-            "%d machines, %d usable, %d idle; attempts %s; waiting %s",
+            "status: %d machines, %d usable, %d idle; attempts %s; waiting %s",
             len(self.fleet.machines),
             usable,
             idle,
@@ -174,4 +187,4 @@
         )
         why = self.standing()
         if why:
-            log.info("standing: %s", line(why))
+            log.info("tasks waiting: %s", format_wait_reasons(why))
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -1,7 +1,7 @@
-"""One term of leadership: a book, a fleet, and the subsystems over both.
+"""One term of leadership: the job record, the fleet and the components that work on both.
 
-Everything here lives as long as one token. Losing the lead throws the term
-away; the next one is rebuilt from the state service and the reports.
+A term lasts as long as one fencing token. When leadership is lost the term is discarded;
+the next leader builds a new one from the state service and from workers' reports.
 """
 
 import asyncio
@@ -13,133 +13,144 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.leading.faults import FAILED, Faults
-from chalkgrade.leading.hints import Succession, apply, gather
-from chalkgrade.leading.reports import Reports
-from chalkgrade.leading.scheduling import Scheduling
+from chalkgrade.extensions import subsystems
+from chalkgrade.extensions.components import Component, Loop, Sample, gauge, labelled_sample
+from chalkgrade.leading.failures import FAILURE_CAUSES, FailureTracker
+from chalkgrade.leading.hints import HintExchange, apply_hints, gather_hints
+from chalkgrade.leading.reports import ReportHandler
+from chalkgrade.leading.scheduling import RoundScheduler
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Machine, Report
-from chalkgrade.machines.kinds import Flavor
 from chalkgrade.outside import Http, NoAnswer, Signal
 from chalkgrade.pipelines.part import Pipelines
-from chalkgrade.record import apart
-from chalkgrade.record.book import Book
-from chalkgrade.record.fates import Account
+from chalkgrade.record import dependency_lists
+from chalkgrade.record.in_flight import JobStatusReport
 from chalkgrade.record.jobs import JOB_PREFIX, Attempt, Job, JobSpec, JobValue
+from chalkgrade.record.registry import JobRegistry
 from chalkgrade.record.writer import Writer
 from chalkgrade.renting.cloud import Cloud
 from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
-from chalkgrade.seams import subsystems
-from chalkgrade.seams.parts import Loop, Part, Sample, by_label, gauge
-from chalkgrade.sharing.domain import Domain
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.state.ledger import Conflict, NotExecuted
-from chalkgrade.state.office import Office
+from chalkgrade.sharing.term_context import TermContext
+from chalkgrade.state.client import Conflict, NotExecuted
+from chalkgrade.state.leader_context import LeaderContext
 
 log = logging.getLogger("chalkgrade.term")
 
 
 class Unavailable(Exception):
-    """Nothing can be said now; the user should come back."""
+    """The leader can't answer at present; the user should retry."""
 
 
 class Term:
-    """What the leader knows and does under one token."""
+    """The state and the tasks of a leader under one fencing token."""
 
     def __init__(
         self,
-        office: Office,
+        context: LeaderContext,
         cloud: Cloud,
         flavors: dict[str, Flavor],
-        remember: Callable[[str, str, int], object],
+        remember_final_state: Callable[[str, str, int], object],
         http: Http,
-        succession: Succession,
+        hint_exchange: HintExchange,
     ) -> None:
-        self.office = office
-        self.leadership = office.leadership
-        self.clock = office.clock
-        workers = office.settings.cluster.workers
-        self.fleet = Fleet(office.clock, office.token, workers.lease_s, workers.report_s)
-        self.queues = Queues(office.settings, office.clock, flavors, office.ledger.limits.value_b)
-        self.parts: list[Part] = []
-        self.book = Book(office, remember, self._job_came)
-        self.jobs = self.book.jobs
-        self.succession = succession
-        self.domain = domain = Domain(
-            office, self.book, self.fleet, self.queues, flavors, self.live
+        self.context = context
+        self.leadership = context.leadership
+        self.clock = context.clock
+        workers = context.settings.cluster.workers
+        self.fleet = Fleet(context.clock, context.token, workers.lease_s, workers.report_s)
+        self.queues = Queues(
+            context.settings, context.clock, flavors, context.ledger.limits.max_value_bytes
         )
-        self.renter = Renter(domain, cloud, self._lost, self._able)
+        self.components: list[Component] = []
+        self.registry = JobRegistry(context, remember_final_state, self._on_job)
+        self.jobs = self.registry.jobs
+        self.hint_exchange = hint_exchange
+        self.term_context = term_context = TermContext(
+            context, self.registry, self.fleet, self.queues, flavors, self.is_serving
+        )
+        self.renter = Renter(term_context, cloud, self._on_attempt_lost, self._max_demand)
         self.renter.coming = lambda: self.pipelines.graph.coming(
-            self.queues.ends_in_s, constants.COMING_S
+            self.queues.remaining_makespan_s, constants.COMING_S
+        )
+        self.scheduling = RoundScheduler(term_context, self._expire_leases, self.renter.refused)
+        self.reports = ReportHandler(
+            term_context, self.scheduling, self._on_report_accepted, self._on_attempt_ended
         )
-        self.scheduling = Scheduling(domain, self._sweep, self.renter.refused)
-        self.reports = Reports(domain, self.scheduling, self._took_in, self._ended)
         self.ready = False
-        self.loaded = Signal()  # the record is read: reports are taken from now on
+        self.record_loaded = Signal()  # fires once the record is read and reports are accepted
         self.tasks: list[asyncio.Task[None]] = []
-        self.counts: dict[str, int] = defaultdict(int)  # ended attempts by cause
-        self.believed: set[str] = set()  # jobs that others have told of, see `believe`
-        self.writer = Writer(office, self.book)
-        self.pipelines = Pipelines(self.book, self._job_came, self.queues.dues, self.queues.takes_s)
-        self.add(self.pipelines)
-        self.add(Faults(office.token, office.clock))
-        self.add(self.scheduling)
-        self.add(self.renter)
-        joint = Joint(domain, self.renter, self._able, self._ties, http)
-        for part in subsystems.joined(office.settings, joint):
-            self.add(part)
-
-    def add(self, part: Part) -> None:
-        """Wire a subsystem in, before the term starts."""
-        self.parts.append(part)
-        self.book.kept += part.kept
-        self.scheduling.outer += part.gates
-
-    # -- life ---------------------------------------------------------------------
+        self.ended_by_cause: dict[str, int] = defaultdict(int)  # ended attempts by cause
+        self.reported_cancelled: set[str] = set()  # names; see `apply_reported_cancellations`
+        self.writer = Writer(context, self.registry)
+        self.pipelines = Pipelines(
+            self.registry, self._on_job, self.queues.due_times, self.queues.expected_makespan_s
+        )
+        self.add_component(self.pipelines)
+        self.add_component(FailureTracker(context.token, context.clock))
+        self.add_component(self.scheduling)
+        self.add_component(self.renter)
+        joint = Joint(
+            term_context, self.renter, self._max_demand, self._holds_scarce_resource, http
+        )
+        for component in subsystems.create_components(context.settings, joint):
+            self.add_component(component)
+
+    def add_component(self, component: Component) -> None:
+        """Registers a component; must be called before the term starts."""
+        self.components.append(component)
+        self.registry.persisted_values += component.persisted_values
+        self.scheduling.component_constraints += component.start_constraints
+
+    # -- life cycle ---------------------------------------------------------------
 
     def start(self) -> None:
-        self.tasks.append(asyncio.create_task(self._guard(self._run, True, lasting=False)))
+        """Starts loading the record; the loops start once it is loaded."""
+        self.tasks.append(asyncio.create_task(self._supervise(self._run, True, lasting=False)))
 
     def stop(self) -> None:
+        """Ends the term: cancels its tasks and stops its components."""
         self.ready = False
         for task in self.tasks:
             task.cancel()
-        for part in self.parts:
-            part.stop()
+        for component in self.components:
+            component.stop()
 
     async def _run(self) -> None:
         while not self.ready:
             try:
                 await self._load()
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
-                log.warning("loading the book: %s", error)
+                log.warning("loading the record failed, retrying: %s", error)
                 await asyncio.sleep(constants.STATE_PAUSE_S)
-        writing = [self.writer.flush, *[self.writer.admit] * constants.ADMIT_LANES]
-        self._spawn([self.book.watch, self.writer.watch, *writing], True)
-        for part in self.parts:
-            self._spawn(part.durable, True)
-            self._spawn(part.loops, False)
+        writing = [self.writer.run_main_lane, *[self.writer.run_admissions] * constants.ADMIT_LANES]
+        self._spawn([self.registry.watch_submissions, self.writer.wait_for_stall, *writing], True)
+        for component in self.components:
+            self._spawn(component.durable_loops, True)
+            self._spawn(component.decision_loops, False)
         if constants.HINTS_PEERS:
-            self._spawn([self._tell], False)
+            self._spawn([self._publish_hints], False)
 
-    async def _tell(self) -> None:
-        """Tell those who would lead next what the record does not have."""
+    async def _publish_hints(self) -> None:
+        """Sends the term's hints periodically to the controllers that would lead next."""
         while True:
             await asyncio.sleep(constants.HINTS_EVERY_S)
-            if self.live():
-                await self.succession.tell(gather(self.domain, self.renter))
+            if self.is_serving():
+                await self.hint_exchange.publish(gather_hints(self.term_context, self.renter))
 
     def _spawn(self, loops: Iterable[Loop], fatal: bool) -> None:
-        self.tasks += [asyncio.create_task(self._guard(loop, fatal)) for loop in loops]
+        self.tasks += [asyncio.create_task(self._supervise(loop, fatal)) for loop in loops]
 
-    async def _guard(self, loop: Loop, fatal: bool, lasting: bool = True) -> None:
-        """A loop that meets a bug must not leave half a leader behind.
+    async def _supervise(self, loop: Loop, fatal: bool, lasting: bool = True) -> None:
+        """Runs a loop and handles its failure, so that a leader never runs without one.
 
-        What holds durable state is rebuilt under a new token; deciding where
-        things run starts again, since the same input would meet the next leader.
-        A cancellation that nobody asked this task for is a bug like any other: taken for the
-        term's end, it would leave a leader that places work and writes nothing.
+        A failed loop with durable state (`fatal`) ends the leadership, and its state is rebuilt
+        under a new token. A failed decision loop is restarted instead, since the next leader
+        would get the same input. A `CancelledError` that was not requested for this task is
+        treated as a failure: taken for the end of the term, it would leave a leader that
+        places work and writes nothing. A loop that is not `lasting` may return.
         """
         task = asyncio.current_task()
         while True:
@@ -150,169 +161,196 @@
             except asyncio.CancelledError:
                 if task is None or task.cancelling():
                     raise
-                log.exception("a loop was cancelled by nobody")
+                log.exception("loop cancelled without a request")
             except Exception:
-                log.exception("a loop failed%s", "; stepping down" if fatal else "")
+                log.exception("loop failed%s", "; stepping down" if fatal else "")
             if fatal:
-                self.leadership.depose()
+                self.leadership.step_down()
                 return
             await asyncio.sleep(constants.ROUND_S)
 
     async def _load(self) -> None:
         self.fleet.machines.clear()
-        for attempt in await self.book.load():
+        for attempt in await self.registry.load():
             if attempt.job.aborted:
-                attempt.kill_at = self.clock.now()
-            self.fleet.hold(attempt)
-        for hints in self.succession.fresh(self.office.token, self.clock.wall()):
-            apply(hints, self.domain, self.renter)
+                attempt.kill_requested_at = self.clock.now()
+            self.fleet.attach_attempt(attempt)
+        for hints in self.hint_exchange.usable_hints(self.context.token, self.clock.wall()):
+            apply_hints(hints, self.term_context, self.renter)
         self.ready = True
-        self.loaded.fire()
+        self.record_loaded.fire()
         live = sum(len(job.live) for job in self.jobs.values())
-        log.info("term %d: %d jobs, %d live attempts", self.office.token, len(self.jobs), live)
-        for part in self.parts:
-            part.start()
+        log.info(
+            "term started: token %d: %d jobs, %d live attempts",
+            self.context.token,
+            len(self.jobs),
+            live,
+        )
+        for component in self.components:
+            component.start()
+
+    # -- requests of users --------------------------------------------------------
 
-    # -- users --------------------------------------------------------------------
+    def is_serving(self) -> bool:
+        """Returns whether the record is loaded and the lease still proves leadership."""
+        return self.ready and self.leadership.may_act()
 
-    def live(self) -> bool:
-        """Whether this term may answer for the present."""
-        return self.ready and self.leadership.acting()
+    def job_account(self, name: str) -> JobStatusReport:
+        """Returns a job's current state and the keys of open commits that may have changed it.
 
-    def account(self, name: str) -> Account:
-        """A job's present state, and the keys of open commits that may have changed it."""
-        if not self.live():
+        Raises `Unavailable` if the state can't be told at present.
+        """
+        if not self.is_serving():
             raise Unavailable
         job = self.jobs.get(name)
-        keys = self.writer.fates.of(name)
+        keys = self.writer.in_flight.keys_of(name)
         if job is not None and job.aborted:
-            return Account(job.status())  # nothing that is open makes it anything else
+            return JobStatusReport(job.status())  # no open commit can change that
         if job is not None:
             if not self.pipelines.sure(job):
-                raise Unavailable  # as may be that it is cancelled
-            return Account(job.status(), keys)
-        if name in self.book.admissions:
-            # Whatever commit of ours it waits for, another node may have accepted it too.
+                raise Unavailable  # it may be cancelled already
+            return JobStatusReport(job.status(), keys)
+        if name in self.registry.admissions:
+            # Another node may have accepted the job as well, whichever commit it waits for here.
             keys.append(JOB_PREFIX + name)
-        return Account(None, keys)
+        return JobStatusReport(None, keys)
 
-    def knows(self, name: str) -> bool:
-        """Whether a job is on record under this token."""
-        return name in self.jobs or name in self.book.over
+    def has_job(self, name: str) -> bool:
+        """Returns whether the term has a record of the job, live or over."""
+        return name in self.jobs or name in self.registry.over
 
     async def submit(self, spec: JobSpec) -> bool:
-        """Accept a job together with others; False when it is known already."""
-        if not self.live():
+        """Accepts a job, committed in a batch with others; False if it is already known.
+
+        Raises `Unavailable` if the term can't answer at present.
+        """
+        if not self.is_serving():
             raise Unavailable
         value = JobValue(spec, self.clock.wall())
         if spec.waitsOn is not None:
             try:
-                value = await apart.keep(self.office.ledger, value)
+                value = await dependency_lists.store_if_too_long(self.context.ledger, value)
             except Conflict:
-                return False  # it is over
-        return await self.book.admit(value, constants.PEER_TIMEOUT_S)
+                return False  # the job is already over
+        return await self.registry.admit(value, constants.PEER_TIMEOUT_S)
 
     async def abort(self, name: str) -> str | None:
-        """Abort a job; its final state, or None when the book does not have it.
+        """Aborts a job and returns its final state, or None if the record does not have it.
 
-        One whose admission is open is waited for: others may have read that it is accepted.
+        If the admission of the job is still open, this waits for it, since other controllers may
+        already have read that the job is accepted. Raises `Unavailable` if the outcome is not
+        durable within `INTAKE_DEADLINE_S`.
         """
-        if not self.live():
+        if not self.is_serving():
             raise Unavailable
         deadline = self.clock.now() + constants.INTAKE_DEADLINE_S
-        while name in self.book.admissions and name not in self.jobs:
-            if not await self.book.committed.wait(deadline - self.clock.now()) or not self.live():
+        while name in self.registry.admissions and name not in self.jobs:
+            if (
+                not await self.registry.committed.wait(deadline - self.clock.now())
+                or not self.is_serving()
+            ):
                 raise Unavailable
         job = self.jobs.get(name)
         if job is None:
-            return self.book.over.get(name)
-        self.book.abort(job)
-        while self.live():
+            return self.registry.over.get(name)
+        self.registry.abort(job)
+        while self.is_serving():
             if job.aborted:
                 return "withdrawn"
-            if name in self.book.over:
+            if name in self.registry.over:
                 return "done"
-            if not await self.book.committed.wait(deadline - self.clock.now()):
+            if not await self.registry.committed.wait(deadline - self.clock.now()):
                 break
         raise Unavailable
 
-    def believe(self, told: set[str]) -> None:
-        """Stop what others have told users is cancelled."""
-        for job in filter(None, map(self.jobs.get, told - self.believed)):
-            job.told = True
+    def apply_reported_cancellations(self, reported: set[str]) -> None:
+        """Stops the jobs that other controllers have already reported to users as cancelled."""
+        for job in filter(None, map(self.jobs.get, reported - self.reported_cancelled)):
+            job.reported_cancelled = True
             for attempt in job.live.values():
-                attempt.kill_at = attempt.kill_at or self.clock.now()
-        self.believed |= told
+                attempt.kill_requested_at = attempt.kill_requested_at or self.clock.now()
+        self.reported_cancelled |= reported
 
-    def doubt(self) -> None:
-        """The record is ours again: only what it says is cancelled is so."""
-        for job in filter(None, map(self.jobs.get, self.believed)):
-            job.told = False
-        self.believed.clear()
+    def withdraw_reported_cancellations(self) -> None:
+        """Drops reported cancellations: the record is available again and alone decides."""
+        for job in filter(None, map(self.jobs.get, self.reported_cancelled)):
+            job.reported_cancelled = False
+        self.reported_cancelled.clear()
 
-    # -- workers and what becomes of attempts ---------------------------------------
+    # -- workers' reports and the ends of attempts ----------------------------------
 
-    async def hello(self, report: Report, relayed: bool = False) -> tuple[int, dict[str, Any]]:
-        """Answer one report; one that another controller carries is held for less long."""
-        return await self.reports.hello(report, relayed)
+    async def handle_report(
+        self, report: Report, relayed: bool = False
+    ) -> tuple[int, dict[str, Any]]:
+        """Answers one report; see `ReportHandler.handle_report`."""
+        return await self.reports.handle_report(report, relayed)
 
-    def _job_came(self, job: Job, fresh: bool) -> None:
-        for part in self.parts:
-            part.on_job(job, fresh)
+    def _on_job(self, job: Job, fresh: bool) -> None:
+        for component in self.components:
+            component.on_job(job, fresh)
 
-    def _took_in(self, machine: Machine, first: bool) -> None:
-        for part in self.parts:
-            part.on_report(machine, first)
+    def _on_report_accepted(self, machine: Machine, first: bool) -> None:
+        for component in self.components:
+            component.on_report(machine, first)
 
-    def _ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        """An attempt is over, as reported or since it is surely absent (no cause)."""
+    def _on_attempt_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
+        """Handles the end of an attempt: reported with a cause, or proven absent (empty cause)."""
         if cause:
-            self.counts[cause] += 1
+            self.ended_by_cause[cause] += 1
         if log.isEnabledFor(logging.DEBUG):
-            what = about(self.office.token, attempt.job.name, attempt.machine, attempt.label)
-            log.debug("%s on %s: %s", attempt.label, attempt.machine, cause or "gone", extra=what)
-        attempt.job.finish(attempt, cause == "done", cause in FAILED)
+            what = about(self.context.token, attempt.job.name, attempt.machine, attempt.label)
+            log.debug(
+                "attempt ended: %s on %s: %s",
+                attempt.label,
+                attempt.machine,
+                cause or "gone",
+                extra=what,
+            )
+        attempt.job.finish(attempt, cause == "done", cause in FAILURE_CAUSES)
         if machine is not None:
             machine.detach(attempt)
-        self.book.progressed(attempt.job)
-        for gate in self.scheduling.outer:
-            gate.gave(attempt)
-        for part in self.parts:
-            part.on_ended(machine, attempt, cause)
-
-    def _sweep(self) -> None:
-        """Find attempts that are surely gone because their machine has lost its lease."""
+        self.registry.update_ending(attempt.job)
+        for constraint in self.scheduling.component_constraints:
+            constraint.on_released(attempt)
+        for component in self.components:
+            component.on_ended(machine, attempt, cause)
+
+    def _expire_leases(self) -> None:
+        """Ends the attempts that are proven absent because their machine's lease is over."""
         for machine in self.fleet.machines.values():
-            if not machine.attempts or not self.fleet.lapsed(machine):
+            if not machine.attempts or not self.fleet.is_own_lease_over(machine):
                 continue
-            every = self.fleet.expired(machine)
-            lost = [a for a in machine.attempts.values() if every or a.decided]
+            every = self.fleet.is_lease_over(machine)
+            lost = [a for a in machine.attempts.values() if every or a.placed_at]
             if lost:
                 log.info(
-                    "%s: lease surely over, %d attempts lost",
+                    "machine lease over: %s: %d attempts lost",
                     machine.name,
                     len(lost),
-                    extra=about(self.office.token, machine=machine.name),
+                    extra=about(self.context.token, machine=machine.name),
                 )
             for attempt in lost:
-                self._ended(machine, attempt, "")
+                self._on_attempt_ended(machine, attempt, "")
 
-    def _able(self, job: Job, count: int) -> int:
-        for gate in self.scheduling.outer:
-            count = gate.able(job, count)
+    def _max_demand(self, job: Job, count: int) -> int:
+        for constraint in self.scheduling.component_constraints:
+            count = constraint.max_demand(job, count)
         return count
 
-    def _ties(self, job: Job) -> bool:
-        return any(gate.ties(job) for gate in self.scheduling.outer)
+    def _holds_scarce_resource(self, job: Job) -> bool:
+        return any(
+            constraint.holds_scarce_resource(job)
+            for constraint in self.scheduling.component_constraints
+        )
 
-    def _lost(self, attempt: Attempt) -> None:
-        """The attempt's machine is surely gone."""
-        self._ended(None, attempt, "")
+    def _on_attempt_lost(self, attempt: Attempt) -> None:
+        """Handles an attempt whose machine is proven to be gone."""
+        self._on_attempt_ended(None, attempt, "")
 
     def samples(self) -> Iterable[Sample]:
-        """Figures for /metrics."""
-        for part in self.parts:
-            yield from part.samples()
-        unwritable = len(self.writer.unwritable)
+        """Returns the metrics of the term and its components."""
+        for component in self.components:
+            yield from component.samples()
+        unwritable = len(self.writer.unwritable_sizes)
         yield gauge("unwritable_values", "Values over the state service's limit", unwritable)
-        yield by_label("attempts", "Ended attempts by cause", "cause", self.counts)
+        yield labelled_sample("attempts", "Ended attempts by cause", "cause", self.ended_by_cause)
--- a/src/chalkgrade/licences/seats.py
+++ b/src/chalkgrade/licences/seats.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import Preemption, StartConstraint
 from chalkgrade.licences.needs import Needs, Seats
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.seams.gates import Gate, Stops
 from chalkgrade.sharing.queues import Queues
 
 SEAT = "no licence seat"
@@ -36,7 +36,7 @@
     return max(1, len(job.waiting)) if job.spec.shape == "gang" else 1
 
 
-class SeatGate(Gate):
+class SeatGate(StartConstraint):
     """All seats of a task's pools, or none of them."""
 
     def __init__(self, needs: Needs, queues: Queues, usable: Callable[[str], Usable]) -> None:
@@ -61,7 +61,7 @@
 
     # -- what is taken --------------------------------------------------------------
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._now = now
         self.used = dict.fromkeys(self.needs.pools, 0)
         self.waiting = dict.fromkeys(self.needs.pools, 0)
@@ -75,19 +75,19 @@
             if not needs:
                 continue
             self._mine[job] = needs
-            startable = 0 if job.aborted or job.aborting else job.startable
+            startable = 0 if job.aborted or job.aborting else job.startable_count
             for pool, seats in needs:
                 if job.live:
                     self.used[pool] += seats * len(job.live)
                     self._holders[pool].append(job)
                 self.waiting[pool] += seats * startable
-            if startable and now >= job.not_before:
+            if startable and now >= job.retry_at:
                 asking.append(job)
         self.free = {pool: self.usable(pool).seats - used for pool, used in self.used.items()}
         self._allot(asking)
         self._take_back()
 
-    def gave(self, attempt: Attempt) -> None:
+    def on_released(self, attempt: Attempt) -> None:
         self._stops.pop(attempt, None)
 
     # -- who gets what is free ------------------------------------------------------
@@ -100,8 +100,8 @@
             for job in holders:
                 shares[job.spec.owner, pool] += dict(self._mine[job])[pool] * len(job.live)
         self._allotted = {}
-        asking.sort(key=lambda job: (-job.spec.rank, job.open_at, job.name))
-        for _, group in itertools.groupby(asking, key=lambda job: job.spec.rank):
+        asking.sort(key=lambda job: (-job.spec.urgency_rank, job.eligible_at, job.name))
+        for _, group in itertools.groupby(asking, key=lambda job: job.spec.urgency_rank):
             mates = list(group)
             for job in sorted(self._starving(mates), key=lambda job: self._denied[job]):
                 self._first_of_all(job, left, shares)
@@ -162,7 +162,7 @@
             return max(shares[team, pool] / self.needs.pools[pool].seats for pool, _ in needs)
 
         order = [
-            (share(*key), line[0].at, number, key, iter(line), line[0])
+            (share(*key), line[0].accepted_at, number, key, iter(line), line[0])
             for number, (key, line) in enumerate(lines.items())
         ]
         heapq.heapify(order)
@@ -172,11 +172,13 @@
             if now > before:  # another line of the team got a seat meanwhile
                 heapq.heappush(order, (now, at, number, key, rest, job))
                 continue
-            if self._allotted.get(job, 0) >= job.startable:
+            if self._allotted.get(job, 0) >= job.startable_count:
                 following = next(rest, None)
                 following = next(rest, None) if following is job else following
                 if following is not None:
-                    heapq.heappush(order, (now, following.at, number, key, rest, following))
+                    heapq.heappush(
+                        order, (now, following.accepted_at, number, key, rest, following)
+                    )
                 continue
             if any(left[pool] < seats * key[2] for pool, seats in key[1]):
                 continue  # nobody behind it in this line fares better
@@ -198,21 +200,22 @@
         return any(
             self.free[pool] < seats
             and any(
-                other.spec.rank < spec.rank or (promised and other.spec.owner != spec.owner)
+                other.spec.urgency_rank < spec.urgency_rank
+                or (promised and other.spec.owner != spec.owner)
                 for other in self._holders[pool]
             )
             for pool, seats in self._mine[job]
         )
 
-    def ready(self, job: Job) -> bool:
+    def is_ready(self, job: Job) -> bool:
         """What has no seat, and nobody to take one from, costs the round nothing further."""
-        if job not in self._mine or self.most(job, 1):
+        if job not in self._mine or self.max_starts(job, 1):
             return True
         return self._stoppable(job)
 
     # -- what a round asks ------------------------------------------------------------
 
-    def most(self, job: Job, count: int) -> int:
+    def max_starts(self, job: Job, count: int) -> int:
         needs = self._mine.get(job)
         if needs is None:
             return count
@@ -222,16 +225,16 @@
             return count
         return min(count, own + min(max(0, self._open[pool]) // seats for pool, seats in needs))
 
-    def ties(self, job: Job) -> bool:
+    def holds_scarce_resource(self, job: Job) -> bool:
         return bool(self.needs.of(job.spec))
 
-    def able(self, job: Job, count: int) -> int:
+    def max_demand(self, job: Job, count: int) -> int:
         if job in self._mine:
             return min(count, self._allotted.get(job, 0))
         # Since the last round, nothing is rented for it before the next.
         return 0 if self.needs.of(job.spec) else count
 
-    def took(self, job: Job, site: str) -> None:
+    def on_placed(self, job: Job, site: str) -> None:
         needs = self._mine.get(job)
         if needs is None:
             return
@@ -246,9 +249,9 @@
             if not by_right:
                 self._open[pool] -= seats
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         needs = self._mine.get(job)
-        if needs is None or self.most(job, 1):
+        if needs is None or self.max_starts(job, 1):
             return ""
         if any(not self.usable(pool).fresh for pool, _ in needs):
             return SERVER
@@ -256,15 +259,15 @@
 
     # -- urgent work ------------------------------------------------------------------
 
-    def make_way(self, job: Job, stops: Stops) -> None:
+    def preempt_for(self, job: Job, stops: Preemption) -> None:
         """Stop less urgent work that holds what an urgent job lacks, as room is made.
 
         Only where all its pools can be had that way, and not for seats that come free
         by themselves in time, or by earlier stops.
         """
         needs = self._mine.get(job)
-        waited = self.queues.clock.wall() - job.open_at
-        slack = self.queues.slack(job)
+        waited = self.queues.clock.wall() - job.eligible_at
+        slack = self.queues.slack_s(job)
         if needs is None or not stops.preempt or slack < 0 or waited <= constants.PREEMPT_WAIT_S:
             return
         if job in self._tried or not self._stoppable(job):
@@ -280,18 +283,18 @@
             for holder in self._holders[pool]:
                 held = dict(self._mine[holder])[pool]
                 for attempt in holder.live.values():
-                    ends = attempt.kill_at is not None or attempt in chosen
-                    if ends or self.queues.left_s(attempt, self._now) <= late:
+                    ends = attempt.kill_requested_at is not None or attempt in chosen
+                    if ends or self.queues.remaining_run_s(attempt, self._now) <= late:
                         missing -= held
-                    elif stops.may_stop(attempt, job):
-                        loss = stops.loss(attempt)
-                        entry = (holder.spec.rank, loss, attempt.label, attempt, held)
+                    elif stops.may_preempt(attempt, job):
+                        loss = stops.preemption_loss(attempt)
+                        entry = (holder.spec.urgency_rank, loss, attempt.label, attempt, held)
                         offers.append(entry)
             offers.sort(key=lambda offer: offer[:3])
             for _, loss, _, attempt, held in offers:
                 if missing <= 0:
                     break
-                if loss <= stops.worth(job):
+                if loss <= stops.max_preemption_loss(job):
                     chosen[attempt] = None
                     missing -= held
             if missing > seats * (tasks - _unit(job)):
@@ -300,16 +303,16 @@
         if chosen:
             stops.stop(list(chosen), job)
             for attempt in chosen:
-                self._stops[attempt] = (job, attempt.kill_at or self._now)
+                self._stops[attempt] = (job, attempt.kill_requested_at or self._now)
 
     def _take_back(self) -> None:
         """A stop that was not sent yet is taken back if the seat came free meanwhile."""
         for attempt, (job, at) in list(self._stops.items()):
-            if attempt.kill_sent or attempt.kill_at != at or attempt.job.aborted:
+            if attempt.kill_sent or attempt.kill_requested_at != at or attempt.job.aborted:
                 del self._stops[attempt]  # under way, or wanted for another reason
                 continue
             needs = self._mine.get(job, ())
-            tasks = min(job.startable, max(_unit(job), constants.SEAT_STOPS))
+            tasks = min(job.startable_count, max(_unit(job), constants.SEAT_STOPS))
             if all(self.free[pool] >= seats * tasks for pool, seats in needs):
-                attempt.kill_at = None
+                attempt.kill_requested_at = None
                 del self._stops[attempt]
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -14,22 +14,22 @@
 import msgspec
 
 from chalkgrade import constants
+from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
+from chalkgrade.extensions.constraints import StartConstraint
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.kinds import BOTH, Pool, per_machine
-from chalkgrade.machines.placement import Slot, allowed, wait_s
+from chalkgrade.machines.placement import Slot, may_use_machine, room_wait_s
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.outside import Bucket
-from chalkgrade.record.changes import Kept
+from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
-from chalkgrade.seams.gates import Gate
-from chalkgrade.seams.parts import Part, Sample, by_label, gauge
-from chalkgrade.sharing.domain import Domain
-from chalkgrade.sharing.floor import Floor
-from chalkgrade.sharing.gates import Maxima
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
+from chalkgrade.sharing.constraints import TeamLimits
+from chalkgrade.sharing.term_context import TermContext
 from chalkgrade.vectors import Vector, fits, minus
 
 log = logging.getLogger("chalkgrade.moves")
@@ -65,22 +65,22 @@
     homes: list[MoveRecord] = []
 
 
-class MoveGate(Gate):
+class MoveGate(StartConstraint):
     """Keeps freed room for its large job, and targets for the tasks that come."""
 
     def __init__(self, part: "Moves") -> None:
         self._part = part
         self.kept: dict[str, list[tuple[str, Vector]]] = {}
 
-    def begin(self, jobs: Iterable[Job], now: float) -> None:
+    def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.kept = {}
         book = self._part.book.jobs
         for plan in self._part.value.plans:
             job = book.get(plan.job)
             if job is not None:
-                self.kept.setdefault(plan.host, []).append((job.name, job.spec.room))
+                self.kept.setdefault(plan.host, []).append((job.name, job.spec.resources))
         for move in self._part.unsettled():
-            room = book[move.job].spec.room
+            room = book[move.job].spec.resources
             self.kept.setdefault(move.target, []).append((move.job, room))
 
     def left(self, job: Job, slot: Slot) -> Vector:
@@ -91,27 +91,27 @@
                 free = minus(free, room)
         return free
 
-    def opens(self, job: Job, slot: Slot) -> bool:
-        return slot.name not in self.kept or fits(job.spec.room, self.left(job, slot))
+    def allows_slot(self, job: Job, slot: Slot) -> bool:
+        return slot.name not in self.kept or fits(job.spec.resources, self.left(job, slot))
 
-    def first(self) -> Iterable[tuple[Job, int, str]]:
+    def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
         """Stopped tasks start at their targets before anything else is placed."""
         for move in self._part.unsettled():
             if move.home_until:
                 yield self._part.book.jobs[move.job], move.index, move.target
 
-    def why(self, job: Job) -> str:
+    def refusal_reason(self, job: Job) -> str:
         return WAITING if any(plan.job == job.name for plan in self._part.value.plans) else ""
 
 
-class Moves(Part):
+class Moves(Component):
     """Plans and carries out moves under one token."""
 
     find = staticmethod(plan_many)  # the planner
 
     def __init__(
         self,
-        domain: Domain,
+        domain: TermContext,
         settings: MoveSettings,
         renter: Renter,
         able: Callable[[Job, int], int],
@@ -122,15 +122,15 @@
         self.renter = renter
         self.able = able
         self.ties = ties
-        self.clock = domain.office.clock
-        self.book = domain.book
+        self.clock = domain.context.clock
+        self.book = domain.registry
         self.fleet = domain.fleet
         self.value = MovesValue()
-        self.record = Kept(MOVES_KEY, self._load, lambda: self.value)
-        self.kept = [self.record]
+        self.record = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
+        self.persisted_values = [self.record]
         self.gate = MoveGate(self)
-        self.gates = [self.gate]
-        self.loops = [self.run]
+        self.start_constraints = [self.gate]
+        self.decision_loops = [self.run]
         self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
         rate = settings.per_minute / 60
         self.budget = Bucket(self.clock, rate, settings.per_minute)
@@ -167,16 +167,16 @@
             ):
                 self.moves[cause or "lost"] = self.moves.get(cause or "lost", 0) + 1
                 move.home_until = self.clock.wall() + constants.MOVE_HOME_S
-                self.record.touch()
+                self.record.mark_changed()
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(constants.MOVE_EVERY_S)
-            if self.domain.live():
+            if self.domain.is_serving():
                 self._advance()
                 if len(self.value.plans) < constants.MOVE_PLANS:
                     self._look()
-                if self.record.dirty:
+                if self.record.is_dirty:
                     self.book.flush_wanted.set()
 
     def _advance(self) -> None:
@@ -186,17 +186,17 @@
             outcome = self._outcome(plan, wall)
             if outcome:
                 self._close(plan, outcome)
-            elif not self.record.dirty:  # durable before anything is stopped for it
+            elif not self.record.is_dirty:  # durable before anything is stopped for it
                 for move in plan.moves:
                     attempt = self._at_source(move)
-                    if attempt is not None and attempt.kill_at is None:
-                        attempt.kill_at = self.clock.now()
+                    if attempt is not None and attempt.kill_requested_at is None:
+                        attempt.kill_requested_at = self.clock.now()
                         what = about(self.fleet.token, move.job, move.source, attempt.label)
                         log.info("moving %s to %s", attempt.label, move.target, extra=what)
         homes = [m for m in self.unsettled() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
-            self.record.touch()
+            self.record.mark_changed()
 
     def _at_source(self, move: MoveRecord) -> Attempt | None:
         job = self.book.jobs.get(move.job)
@@ -217,7 +217,7 @@
         names = [plan.host, *(m.target for m in plan.moves if self._at_source(m) is not None)]
         for name in names:
             machine = self.fleet.machines.get(name)
-            if machine is None or not self.fleet.hopeful(machine):
+            if machine is None or not self.fleet.is_in_service(machine):
                 return "machine lost"
         return ""
 
@@ -237,12 +237,12 @@
             attempt = self._at_source(move)
             if attempt is not None and not attempt.kill_sent:
                 if not (attempt.job.aborted or attempt.job.aborting):
-                    attempt.kill_at = None  # nobody told it to stop yet
+                    attempt.kill_requested_at = None  # nobody told it to stop yet
                 continue
             move.home_until = move.home_until or (until if attempt is None else 0.0)
             if attempt is None or attempt.kill_sent:
                 self.value.homes.append(move)
-        self.record.touch()
+        self.record.mark_changed()
 
     # -- looking for plans ---------------------------------------------------------------
 
@@ -250,19 +250,19 @@
         """A plan for the first large job that gains by one."""
         jobs = sorted(
             (job for job in self.book.jobs.values() if self._waits(job)),
-            key=self.domain.queues.order,
+            key=self.domain.queues.scheduling_key,
         )
         if not jobs:
             return
         # What fits some machine as it is needs no plan, only its turn.
         now = self.clock.now()
         least = min(job.spec.vcpus for job in jobs)
-        floor = Floor(self.fleet, self.domain.flavors, self.domain.queues, least, now)
-        slots = floor.every()
+        floor = ClusterSnapshot(self.fleet, self.domain.flavors, self.domain.queues, least, now)
+        slots = floor.all_slots()
         for job in jobs:
             # One search a look, and each shape of work now and then: a search costs more
             # than a round, and what found no plan finds none a moment later.
-            key = (job.spec.suits, job.spec.rank)
+            key = (job.spec.machine_constraints, job.spec.urgency_rank)
             if now - self.tried.get(key, -1e9) >= constants.MOVE_RETRY_S:
                 self.tried[key] = now
                 self._try(job, slots, jobs)
@@ -270,10 +270,10 @@
 
     def _waits(self, job: Job) -> bool:
         spec = job.spec
-        if job.aborted or job.aborting or job.faulty or not job.startable:
+        if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
         if (
-            self.clock.wall() - job.open_at < constants.MOVE_WAITED_S
+            self.clock.wall() - job.eligible_at < constants.MOVE_WAITED_S
             or spec.owner in self.settings.optout
         ):
             return False
@@ -285,27 +285,27 @@
         """Look for a plan for one task, or all of a gang, and adopt it if it gains."""
         spec = job.spec
         fitting = [s for s in slots if self._suits(job, s)]
-        if not fitting or any(fits(spec.room, slot.free) for slot in fitting):
+        if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
-        teams = self.domain.office.settings.cluster.teams
-        maxima = Maxima({team.name: team for team in teams}, self.domain.queues)
-        maxima.begin(self.book.jobs.values(), self.clock.now())
-        if not maxima.ready(job) or maxima.most(job, count) < count:
+        teams = self.domain.context.settings.cluster.teams
+        maxima = TeamLimits({team.name: team for team in teams}, self.domain.queues)
+        maxima.begin_round(self.book.jobs.values(), self.clock.now())
+        if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
             return
         # Less urgent work takes what it finds; nothing is kept open for it.
-        mates = (j.spec for j in jobs if j.spec.rank >= spec.rank)
-        others = {mate.room for mate in mates if mate.room != spec.room}
+        mates = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
+        others = {mate.resources for mate in mates if mate.resources != spec.resources}
         pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
         # Only for a few hosts need be known who could leave them: those that lack least.
         hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
         names = {slot.name for slot in hosts}
         places = tuple(self._place(job, slot, slot.name in names) for slot in slots)
-        found = self.find(Problem(spec.room, pools, places, tuple(sorted(others))), count)
+        found = self.find(Problem(spec.resources, pools, places, tuple(sorted(others))), count)
         if not found:
             return
         took = max(self._takes_s(plan) for plan in found)
-        instead = min(min(wait_s(spec, slot) for slot in fitting), self._rent_s(job))
+        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rent_s(job))
         cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
         gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
         if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
@@ -315,7 +315,7 @@
     def _suits(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
         pool = (slot.hosttype, slot.site, slot.standby)
-        return allowed(spec, *pool) and fits(spec.room, slot.total)
+        return may_use_machine(spec, *pool) and fits(spec.resources, slot.total)
 
     def _rent_s(self, job: Job) -> float:
         """How long until a rented machine could start it; infinite where none is coming.
@@ -329,8 +329,8 @@
             if machine.reported_at is not None or machine.releasing or flavor is None:
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
-            if allowed(job.spec, *pool) and per_machine(job.spec, flavor) >= 1:
-                left = self.renter.boots.left(pool, flavor.bootS, now - machine.born)
+            if may_use_machine(job.spec, *pool) and tasks_per_machine(job.spec, flavor) >= 1:
+                left = self.renter.boots.left(pool, flavor.bootS, now - machine.rented_at)
                 best = min(best, left if left is not None else float("inf"))
         return best
 
@@ -362,7 +362,7 @@
         moved = self.moved_at.get((attempt.job.name, attempt.index), -1e18)
         if (
             attempt.state != "running"
-            or attempt.kill_at is not None
+            or attempt.kill_requested_at is not None
             or attempt.job is job
             or attempt.job.aborted
             or attempt.job.aborting
@@ -374,7 +374,11 @@
             return False
         if spec.shape == "service":
             return True
-        return spec.shape == "batch" and spec.savepointS > 0 and spec.rank < job.spec.rank
+        return (
+            spec.shape == "batch"
+            and spec.savepointS > 0
+            and spec.urgency_rank < job.spec.urgency_rank
+        )
 
     def _resident(self, attempt: Attempt, machine: Machine) -> Resident:
         spec = attempt.job.spec
@@ -383,13 +387,13 @@
             (flavor.sku, site, spot)
             for flavor in self.domain.flavors.values()
             for site in flavor.sites
-            for spot in BOTH
-            if allowed(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
+            for spot in SPOT_OPTIONS
+            if may_use_machine(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
         }
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
         return Resident(
-            name, attempt.number, spec.room, loss, spec.bundle, spec.pullGb, frozenset(pools)
+            name, attempt.number, spec.resources, loss, spec.bundle, spec.pullGb, frozenset(pools)
         )
 
     def _adopt(self, job: Job, plan: Plan, took: float, instead: float) -> None:
@@ -402,7 +406,7 @@
             self.moved_at[name, int(index)] = wall
         until = wall + constants.MOVE_PLAN_S
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
-        self.record.touch()
+        self.record.mark_changed()
         log.info(
             "plan for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
             job.name,
@@ -416,8 +420,8 @@
 
     def samples(self) -> Iterable[Sample]:
         yield gauge("moves_plans_open", "Plans under way", len(self.value.plans))
-        yield by_label("moves_plans", "Plans by what came of them", "outcome", self.plans)
-        yield by_label("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
+        yield labelled_sample("moves_plans", "Plans by what came of them", "outcome", self.plans)
+        yield labelled_sample("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
 
 
 def join(own: MoveSettings, joint: Joint) -> Moves:
--- a/src/chalkgrade/record/changes.py
+++ b/src/chalkgrade/record/changes.py
@@ -1,4 +1,4 @@
-"""What is to be written: one change of the record, and what follows once it is durable."""
+"""Changes of the record to be committed, and the callbacks that run once they are durable."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -13,25 +13,27 @@
 from chalkgrade.record.jobs import Job, JobValue
 
 
-def raw(value: Any) -> msgspec.Raw:
-    """A value as it goes into a commit."""
+def encode_raw(value: Any) -> msgspec.Raw:
+    """Encode a value for a commit."""
     return msgspec.Raw(encode(value))
 
 
-class Over(Latest[str, str]):
-    """The latest jobs that ended under this token, and how.
+class RecentEnds(Latest[str, str]):
+    """The jobs that ended most recently under this token, with their final status.
 
-    The others are known from the record: a commit that would make one again fails there.
+    At most OVER_KEPT are held. Older ends are known from the record only: a commit that would
+    create such a job again fails on the condition that its end is absent.
     """
 
     def __init__(self) -> None:
         super().__init__(constants.OVER_KEPT)
 
 
-def together(jobs: Iterable[Job]) -> list[Job]:
-    """Those whose records are in one batch after each other, the first of all first.
+def group_by_batch(jobs: Iterable[Job]) -> list[Job]:
+    """Order jobs so that those with records in the same batch follow each other.
 
-    They share the batch's change, which else each commit of few ends would pay for each.
+    Batches come in the order of their first job. Ends of jobs of one batch then share one write
+    of the batch; in another order, commits with few ends would each write it again.
     """
     groups: dict[Batch | Job, list[Job]] = {}
     for job in jobs:
@@ -40,60 +42,64 @@
 
 
 @dataclass(eq=False)
-class Kept:
-    """A subsystem's own small value that outlives the leader: one key, written whole.
+class PersistedValue:
+    """A subsystem's small value that outlives the leader: one key, always written as a whole.
 
-    `touch` it when it has changed; it is written with the next commit that has room.
+    Call `mark_changed` after a change; the value is written with the next commit that has space.
     """
 
     key: str
-    load: Callable[[bytes], None]  # takes over what an earlier leader wrote
-    dump: Callable[[], Any]
-    stamp: int = 0  # its last known revision; 0: it was never written
-    version: int = 0  # how often it has changed
-    durable: int = 0  # the version that is surely kept
-    told: int = 0  # the version that was said to be too long to be kept
-
-    def touch(self) -> None:
+    load: Callable[[bytes], None]  # restores the value that an earlier leader wrote
+    dump: Callable[[], Any]  # returns the value to write
+    stamp: int = 0  # last known revision; 0: never written
+    version: int = 0  # number of changes
+    durable_version: int = 0  # the version that is known to be durable
+    warned_version: int = 0  # the version for which a warning about its length was logged
+
+    def mark_changed(self) -> None:
+        """Note that the value has changed and has to be written."""
         self.version += 1
 
     @property
-    def dirty(self) -> bool:
-        return self.version != self.durable
+    def is_dirty(self) -> bool:
+        """Whether the current version is not durable yet."""
+        return self.version != self.durable_version
 
-    def saved(self, version: int, revision: int) -> None:
-        self.stamp, self.durable = revision, version
+    def mark_saved(self, version: int, revision: int) -> None:
+        """Note that a version was committed at a revision."""
+        self.stamp, self.durable_version = revision, version
 
 
 @dataclass
-class Write:
-    """One key's change within a commit."""
+class KeyWrite:
+    """The write or removal of one key within a commit."""
 
     key: str
-    stamp: int  # its last known revision; -1: whatever it is
-    value: msgspec.Raw | None  # None: removed
+    stamp: int  # expected revision; 0: absent, -1: any
+    value: msgspec.Raw | None  # None: remove the key
 
     @property
     def size(self) -> int:
+        """Estimated bytes of this write in a commit: twice the key, the value, and overhead."""
         return 2 * len(self.key) + len(self.value or b"") + 80
 
 
 @dataclass(eq=False)
 class Batch:
-    """One key under cg/in/: the records of several jobs, while they are not over."""
+    """One key under cg/in/, with the records of several jobs that are not over."""
 
     key: str
-    stamp: int = 0
-    values: dict[str, bytes] = field(default_factory=dict)
-    size: int = 0
-    busy: bool = False  # a commit with it is under way: no other may touch it meanwhile
-    # Jobs whose end is durable though their records are still here: it was too large to be
-    # rewritten. Every reader of a batch that is larger than new ones asks for ends first.
-    dead: set[str] = field(default_factory=set)
-
-    def apply(self, edits: dict[str, bytes | None]) -> dict[str, bytes]:
-        """Its records after these changes."""
-        out = {name: value for name, value in self.values.items() if name not in self.dead}
+    stamp: int = 0  # last known revision; 0: not written yet
+    records: dict[str, bytes] = field(default_factory=dict)  # job name -> encoded record
+    size: int = 0  # bytes of the records and their separators
+    has_open_commit: bool = False  # while a commit writes this batch no other commit may
+    # Jobs whose end is durable though their records are still here, because the batch was too
+    # large to be rewritten. Readers of a batch above the size limit look for ends first.
+    ended_jobs: set[str] = field(default_factory=set)
+
+    def records_after(self, edits: dict[str, bytes | None]) -> dict[str, bytes]:
+        """Return the records after these edits (job name -> new record, None: removed)."""
+        out = {name: value for name, value in self.records.items() if name not in self.ended_jobs}
         for name, value in edits.items():
             if value is None:
                 out.pop(name, None)
@@ -101,38 +107,41 @@
                 out[name] = value
         return out
 
-    def write(self, edits: dict[str, bytes | None]) -> Write:
-        values = self.apply(edits)
+    def key_write(self, edits: dict[str, bytes | None]) -> KeyWrite:
+        """Return the write of the batch after these edits; a removal if no record is left."""
+        values = self.records_after(edits)
         raw = msgspec.Raw(b'{"jobs":[' + b",".join(values.values()) + b"]}") if values else None
-        return Write(self.key, self.stamp, raw)
+        return KeyWrite(self.key, self.stamp, raw)
 
-    def after(self, edits: dict[str, bytes | None]) -> int:
-        """Bytes that it would take after these changes."""
-        return sum(len(value) + 1 for value in self.apply(edits).values())
+    def size_after(self, edits: dict[str, bytes | None]) -> int:
+        """Return the size in bytes after these edits."""
+        return sum(len(value) + 1 for value in self.records_after(edits).values())
 
-    def saved(self, edits: dict[str, bytes | None], revision: int) -> None:
-        self.stamp, self.values = revision, self.apply(edits)
-        self.dead.clear()
-        self.size = sum(len(value) + 1 for value in self.values.values())
+    def mark_saved(self, edits: dict[str, bytes | None], revision: int) -> None:
+        """Apply edits that were committed at a revision."""
+        self.stamp, self.records = revision, self.records_after(edits)
+        self.ended_jobs.clear()
+        self.size = sum(len(value) + 1 for value in self.records.values())
 
 
 @dataclass
-class Change:
-    """What is written together, and what to do once it is durable."""
+class RecordChange:
+    """Writes that belong into one commit, and the callback for when they are durable."""
 
-    done: Callable[[int], None]
-    writes: list[Write] = field(default_factory=list)
-    batch: Batch | None = None  # a batch whose records change, and how
+    on_durable: Callable[[int], None]  # called with the revision of the commit
+    writes: list[KeyWrite] = field(default_factory=list)
+    batch: Batch | None = None  # the batch whose records `edits` changes
     edits: dict[str, bytes | None] = field(default_factory=dict)
-    absent: list[str] = field(default_factory=list)  # keys that must not be there
-    admits: list["Admission"] = field(default_factory=list)
+    # Keys that must be absent for the commit to succeed.
+    absent_keys: list[str] = field(default_factory=list)
+    admissions: list["Admission"] = field(default_factory=list)  # the submissions it makes durable
 
 
 @dataclass(eq=False)
 class Admission:
-    """A submission on its way into a batch."""
+    """A submission that is waiting to be committed in a batch."""
 
     value: JobValue
-    raw: bytes
-    result: asyncio.Future[bool]  # True: accepted now; False: some node has accepted it before
-    sent: bool = False  # in a commit that is under way
+    raw: bytes  # the encoded record
+    result: asyncio.Future[bool]  # True: accepted now; False: a node had accepted it before
+    sent: bool = False  # part of a commit in progress
--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -1,14 +1,15 @@
 """Jobs and their durable records.
 
 Keys in the state service:
-- cg/in/N: several jobs that are not over (their submissions, and whether they were aborted);
-- cg/job/ID: one such job, accepted by a node that could not reach the leader;
-- cg/log/N: what happened to tasks lately, of all jobs (`oplog`);
-- cg/task/ID/PAGE: a checkpoint of some of its tasks: what is done, what may be running;
-- cg/need/ID/MARK-N: a part of a list of jobs waited for that is too long for the record;
+- cg/in/N: a batch of unfinished jobs (their submissions, and whether they were aborted);
+- cg/job/ID: one unfinished job, accepted by a node that could not reach the leader;
+- cg/log/N: recent events of the tasks of all jobs (`oplog`);
+- cg/task/ID/PAGE: a checkpoint of some tasks of a job: which are done, which may be running;
+- cg/need/ID/MARK-N: a part of a dependency list that is too long for the record;
 - cg/end/ID: the final state, kept for ever.
-A job moves from the first two to the last in one commit, so at every revision
-an accepted job is found among the first two or under the last.
+
+A job moves from one of the first two keys to the last in one commit. So at every revision an
+accepted job is found under one of the first two or under the last.
 """
 
 import heapq
@@ -20,28 +21,28 @@
 
 from chalkgrade import constants
 from chalkgrade.outside import encode
-from chalkgrade.record.oplog import DONE, FAILED, OVER, Op, OpLog
+from chalkgrade.record.oplog import DONE, FAILED, INTERRUPTED, Op, OpLog
 
 BATCH_PREFIX = "cg/in/"
 JOB_PREFIX = "cg/job/"
 TASK_PREFIX = "cg/task/"
 END_PREFIX = "cg/end/"
-NEED_PREFIX = "cg/need/"
-ID_FORM = re.compile(r"[A-Za-z][A-Za-z0-9_.]*-[0-9]{1,20}\Z")
-URGENCIES = {"prod": 3, "high": 2, "standard": 1, "best_effort": 0}
-TASKS_MAX = 100_000
+DEPENDENCIES_PREFIX = "cg/need/"
+JOB_ID_PATTERN = re.compile(r"[A-Za-z][A-Za-z0-9_.]*-[0-9]{1,20}\Z")
+URGENCY_RANKS = {"prod": 3, "high": 2, "standard": 1, "best_effort": 0}
+TASKS_MAX = 100_000  # per job
 
 
-class Invalid(Exception):
-    """A submission that is malformed (400)."""
+class SubmissionError(Exception):
+    """A submission is malformed (HTTP status 400)."""
 
 
-class TooLong(Invalid):
-    """One that can't be kept; under higher limits it may have been accepted once."""
+class SubmissionTooLongError(SubmissionError):
+    """A submission is too long to be stored; under higher limits it may be accepted already."""
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A submission, in the platform's field names."""
+    """A submission, with the platform's field names; times in seconds, sizes in GB."""
 
     nameId: str
     jobclass: str
@@ -63,73 +64,74 @@
     hosttypes: list[str] | None = None
     site: str | None = None
     dueS: float | None = None
-    licences: dict[str, int] | None = None  # pool -> seats a task; where licences are on
-    waitsOn: list[str] | None = None  # jobs that are done before any of its tasks starts
+    licences: dict[str, int] | None = None  # pool -> seats per task, if licences are enabled
+    waitsOn: list[str] | None = None  # jobs that must be done before any task starts
 
     @property
-    def rank(self) -> int:
-        return URGENCIES[self.urgency]
+    def urgency_rank(self) -> int:
+        """The urgency as a number; higher is more urgent."""
+        return URGENCY_RANKS[self.urgency]
 
     @property
-    def room(self) -> tuple[float, float, float]:
-        """What one task takes: CPUs, GPUs, memory."""
+    def resources(self) -> tuple[float, float, float]:
+        """Resources of one task: CPUs, GPUs, memory in GB."""
         return self.vcpus, self.gpus, self.memoryGb
 
     @property
-    def suits(self) -> tuple[object, ...]:
-        """What decides which machines its tasks may have: alike for jobs that have it alike."""
-        return self.room, tuple(self.hosttypes or ()), self.site, self.standby
+    def machine_constraints(self) -> tuple[object, ...]:
+        """The fields that decide which machines suit its tasks; equal for equivalent jobs."""
+        return self.resources, tuple(self.hosttypes or ()), self.site, self.standby
 
 
 def parse_submission(body: bytes, value_b: int) -> JobSpec:
-    """Decode and check a submission; Invalid names what is wrong.
+    """Decode and check a submission; raises SubmissionError with the faulty field.
 
-    `value_b`: bytes that its record may take; a list of jobs to wait for may be longer.
+    The record may take `value_b` bytes; the dependency list is not counted and may be longer.
     """
     try:
         spec = msgspec.json.decode(body, type=JobSpec)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Invalid(str(error)) from None
-    if not is_id(spec.nameId):
-        raise Invalid("nameId: not a job id")
+        raise SubmissionError(str(error)) from None
+    if not is_job_id(spec.nameId):
+        raise SubmissionError("nameId: not a job id")
     if not 1 <= spec.tasks <= TASKS_MAX:
-        raise Invalid(f"tasks: must be 1 to {TASKS_MAX}")
+        raise SubmissionError(f"tasks: must be 1 to {TASKS_MAX}")
     for field in ("vcpus", "gpus", "memoryGb", "pullGb", "expectedS", "savepointS", "flushS"):
         if not 0 <= getattr(spec, field) < 1e9:
-            raise Invalid(f"{field}: must not be negative or beyond bounds")
+            raise SubmissionError(f"{field}: must not be negative or beyond bounds")
     if spec.dueS is not None and not 0 <= spec.dueS < 1e9:
-        raise Invalid("dueS: must not be negative or beyond bounds")
+        raise SubmissionError("dueS: must not be negative or beyond bounds")
     for seats in (spec.licences or {}).values():
         if not 1 <= seats <= 1_000_000:
-            raise Invalid("licences: seats must be 1 to 1000000")
+            raise SubmissionError("licences: seats must be 1 to 1000000")
     if spec.waitsOn is not None:
         for name in spec.waitsOn:
-            if not is_id(name) or name == spec.nameId:
-                raise Invalid(f"waitsOn: {name[:100]!r} is no other job's id")
-        # The same name twice counts once; none is as if the field were not there.
+            if not is_job_id(name) or name == spec.nameId:
+                raise SubmissionError(f"waitsOn: {name[:100]!r} is no other job's id")
+        # Repeated names count once, and an empty list is treated like a missing field.
         spec = msgspec.structs.replace(spec, waitsOn=list(dict.fromkeys(spec.waitsOn)) or None)
-    if len(encode(alone(spec))) > value_b - constants.RECORD_SPARE_B:
-        raise TooLong("the description is too long to be kept")
+    if len(encode(without_dependencies(spec))) > value_b - constants.RECORD_SPARE_B:
+        raise SubmissionTooLongError("the description is too long to be kept")
     return spec
 
 
-def is_id(name: str) -> bool:
-    """Whether a job could be called so."""
-    return len(name) <= constants.ID_MAX and ID_FORM.match(name) is not None
+def is_job_id(name: str) -> bool:
+    """Whether a text is a valid job id."""
+    return len(name) <= constants.ID_MAX and JOB_ID_PATTERN.match(name) is not None
 
 
-def alone(spec: JobSpec) -> JobSpec:
-    """A submission without the jobs that it waits for."""
+def without_dependencies(spec: JobSpec) -> JobSpec:
+    """Return a submission without its dependency list."""
     return spec if spec.waitsOn is None else msgspec.structs.replace(spec, waitsOn=None)
 
 
 class JobValue(msgspec.Struct, omit_defaults=True):
-    """The value under cg/job/, and one of those under cg/in/."""
+    """A job's record: the value under cg/job/, and an element of those under cg/in/."""
 
-    spec: JobSpec
-    at: float  # wall time of the acceptance
+    spec: JobSpec  # as submitted
+    at: float  # wall time of the acceptance, in seconds
     aborted: bool = False
-    # Where its list of jobs to wait for is, if that is kept apart: a mark, and how many parts.
+    # The separately stored dependency list, if there is one: its checksum and number of parts.
     apart: tuple[str, int] | None = None
 
 
@@ -140,87 +142,95 @@
 
 
 class EndValue(msgspec.Struct):
+    """The value under cg/end/."""
+
     status: Literal["done", "withdrawn"]
-    tasks: int = 0
-    at: float = 0.0  # wall time of the end, from which those that waited for it count
+    tasks: int = 0  # number of done tasks
+    at: float = 0.0  # wall time of the end; jobs that depend on it wait from then on
 
 
 class PageValue(msgspec.Struct):
-    """The value under cg/task/: next try, ranges of done tasks, live attempts.
+    """The value under cg/task/, a checkpoint of one page.
 
-    It holds all that the log said up to the entry `u`.
+    It includes all log entries up to the sequence number `u`. The field names have one letter
+    because they are stored with every page.
     """
 
-    n: int = 1
-    d: list[tuple[int, int]] = []
-    l: dict[int, tuple[int, str]] = {}  # noqa: E741 - one letter: it is stored per page
-    u: int = 0
-    f: list[str] = []  # machines that its tasks failed on, while nothing of the job is done
+    n: int = 1  # next try number
+    d: list[tuple[int, int]] = []  # ranges of done tasks, both ends included
+    l: dict[int, tuple[int, str]] = {}  # noqa: E741 - live attempts: task -> try number, machine
+    u: int = 0  # last log entry that is included
+    f: list[str] = []  # machines on which its tasks failed, while no task of the job is done
 
 
 class Attempt:
-    """One try of one task on one machine, as long as it may be there."""
+    """One try of one task on one machine, for as long as it may be running there."""
 
     __slots__ = (
         "job",
         "index",
         "number",
         "machine",
-        "op",
-        "sent",
+        "op_number",
+        "launch_report",
         "state",
-        "kill_at",
-        "since",
-        "decided",
+        "kill_requested_at",
+        "running_since",
+        "placed_at",
         "kill_sent",
-        "guarded",
+        "is_starvation_guarded",
     )
 
     def __init__(self, job: "Job", index: int, number: int, machine: str, op: int) -> None:
+        """Create try `number` of task `index`; `op` is its operation in the log."""
         self.job = job
         self.index = index
         self.number = number
         self.machine = machine
-        self.op = op  # the operation of the log that makes it durable
-        self.sent: tuple[int, int] | None = None  # report answered with its launch
-        self.state = ""  # as last reported; "" while it was never seen
-        self.kill_at: float | None = None  # since when we want it stopped
-        self.kill_sent = False  # an order to stop it may have been executed
-        self.since = 0.0  # when it was first seen running
-        self.decided = 0.0  # when it was placed; 0: under an earlier leader
-        self.guarded = False  # started by the guard against starvation: urgency does not stop it
+        self.op_number = op  # the log operation that makes it durable
+        # The report whose answer ordered its launch.
+        self.launch_report: tuple[int, int] | None = None
+        self.state = ""  # as last reported; "" if never reported
+        self.kill_requested_at: float | None = None  # since when it is to be stopped
+        self.kill_sent = False  # a kill order may have been executed
+        self.running_since = 0.0  # when it was first reported running
+        self.placed_at = 0.0  # when it was placed; 0: by an earlier leader
+        # Started by the protection against starvation: not preempted for urgency.
+        self.is_starvation_guarded = False
 
     @property
     def name(self) -> str:
+        """The task's name: job and index."""
         return f"{self.job.spec.nameId}/{self.index}"
 
     @property
     def label(self) -> str:
-        """Its name in logs: task and try."""
+        """Its name in logs: task and try number."""
         return f"{self.name}#{self.number}"
 
     @property
-    def durable(self) -> bool:
-        return self.job.log.durable >= self.op
+    def is_durable(self) -> bool:
+        """Whether the log durably holds its placement."""
+        return self.job.oplog.durable_count >= self.op_number
 
 
 class Page:
-    """A slice of a job's tasks: the unit of checkpoints."""
+    """A range of PAGE_TASKS tasks of a job: the unit of checkpoints."""
 
-    __slots__ = ("key", "next", "done", "live", "stamp", "upto")
+    __slots__ = ("key", "next_try", "done", "live", "stamp", "durable_lsn")
 
     def __init__(self, key: str) -> None:
         self.key = key
-        self.next = 1
+        self.next_try = 1
         self.done: set[int] = set()
         self.live: dict[int, Attempt] = {}
         self.stamp = 0
-        self.upto = 0  # the entry of the log up to which the durable record goes
+        self.durable_lsn = 0  # the log entry up to which the stored checkpoint goes
 
     def value(self, upto: int, failed: list[str]) -> PageValue:
-        """Its checkpoint; `failed`: machines that the job failed on."""
+        """Return its checkpoint; `failed` are machines on which the job failed."""
         return PageValue(
-            self.next,
+            self.next_try,
             _ranges(self.done),
             {index: (a.number, a.machine) for index, a in self.live.items()},
             upto,
@@ -229,6 +239,7 @@
 
 
 def _ranges(numbers: Iterable[int]) -> list[tuple[int, int]]:
+    """Combine numbers into ranges of consecutive ones, both ends included."""
     out: list[tuple[int, int]] = []
     for number in sorted(numbers):
         if out and out[-1][1] == number - 1:
@@ -238,15 +249,16 @@
     return out
 
 
-class Waiting:
-    """The tasks of a job without an attempt, the lowest number first.
+class WaitingTasks:
+    """The tasks of a job that have no attempt, ordered by number.
 
-    An interrupted task comes back before those that were never started. Each
-    step costs no more than the logarithm of the job's size.
+    An interrupted task comes before those that were never started. Each operation takes
+    amortised logarithmic time in the number of tasks.
     """
 
     def __init__(self, count: int) -> None:
-        self._heap = list(range(count))  # may hold numbers that do not wait any more
+        """Start with all of a job's `count` tasks waiting."""
+        self._heap = list(range(count))  # may contain tasks that no longer wait
         self._members = set(self._heap)
 
     def __len__(self) -> int:
@@ -259,102 +271,109 @@
         return iter(sorted(self._members))
 
     def add(self, index: int) -> None:
+        """Add a task."""
         if index not in self._members:
             self._members.add(index)
             heapq.heappush(self._heap, index)
 
     def remove(self, index: int) -> bool:
-        """Whether it was waiting."""
+        """Remove a task; returns whether it was waiting."""
         if index not in self._members:
             return False
         self._members.remove(index)
         return True
 
-    def first(self, skip: set[int]) -> int | None:
-        """The lowest number that waits and is not to be skipped."""
-        passed = []
-        found = None
+    def lowest(self, skip: set[int]) -> int | None:
+        """Return the lowest waiting task that is not in `skip`, or None."""
+        skipped = []
+        lowest = None
         while self._heap:
             index = self._heap[0]
             if index not in self._members:
                 heapq.heappop(self._heap)
             elif index in skip:
-                passed.append(heapq.heappop(self._heap))
+                skipped.append(heapq.heappop(self._heap))
             else:
-                found = index
+                lowest = index
                 break
-        for index in passed:
+        for index in skipped:
             heapq.heappush(self._heap, index)
-        return found
+        return lowest
 
 
 class Job:
-    """A job that is not over, in the leader's memory."""
+    """An unfinished job in the leader's memory."""
 
     def __init__(self, value: JobValue, stamp: int, log: OpLog, batch: Any = None) -> None:
-        self.batch = batch  # where its record is, with others' (`book.Batch`), or None
-        self.asked = value.spec  # as submitted
-        self.spec = value.spec  # as it is treated: of the urgency of those that need it, too
-        self.apart = value.apart
-        self.queue = f"{value.spec.owner}/{value.spec.jobclass}"  # a team's jobs of one class
-        self.log = log
-        self.at = value.at
-        self.open_at = value.at  # wall time from which it may run: its waits count from then
-        self.due_at: list[float] | None = None  # times by which others need it to be over
-        self.piped = value.spec.waitsOn is not None or value.apart is not None  # in a pipeline
-        self.held = False  # it waits for other jobs: it has no task that waits for room
-        self.aborted = value.aborted  # durable, so users may hear it
-        self.aborting = False  # being made durable: nothing may be launched any more
-        self.told = False  # another controller has told of its end, out of this leader's sight
-        self.stamp = stamp  # revision of its own record; 0: it has none
+        self.batch = batch  # the `changes.Batch` with its record, or None
+        self.submitted_spec = value.spec  # as submitted
+        self.spec = value.spec  # as scheduled: with the urgency of its dependents
+        self.stored_dependencies = value.apart  # as in the record
+        self.queue = f"{value.spec.owner}/{value.spec.jobclass}"  # owner and job class
+        self.oplog = log
+        self.accepted_at = value.at  # wall time
+        self.eligible_at = value.at  # wall time from which it may run and its wait counts
+        self.due_times: list[float] | None = None  # wall times by which dependents need its end
+        # Whether it has dependencies or dependents.
+        self.in_pipeline = value.spec.waitsOn is not None or value.apart is not None
+        self.is_blocked = False  # its dependencies are not done: none of its tasks is waiting
+        self.aborted = value.aborted  # durable, so users may be told
+        self.aborting = False  # abort not durable yet: nothing may be launched
+        self.reported_cancelled = False  # another controller reported its cancellation
+        self.stamp = stamp  # revision of its own record; 0: none
         self.pages: dict[int, Page] = {}
-        self.waiting = Waiting(self.spec.tasks)
-        self.done = 0
-        self.live: dict[int, Attempt] = {}
-        self.failed_on: dict[str, int] = {}  # machine -> failed attempts there
-        self.probes = 0  # failed attempts since the job is held for faulty
-        self.trials = 1  # probes at once: twice as many as have run for long
-        self.ran = False  # a replica of it ran for long: nothing of a service is ever done
-        self.not_before = 0.0
-        self.stays_until: float | None = None  # how long it keeps to machines with its image
+        self.waiting = WaitingTasks(self.spec.tasks)
+        self.done = 0  # number of done tasks
+        self.live: dict[int, Attempt] = {}  # task -> its attempt
+        self.failures_by_machine: dict[str, int] = {}  # machine -> failed attempts there
+        self.failed_probes = 0  # failed attempts while the job counts as faulty
+        self.probe_limit = 1  # concurrent probes: twice as many as have run long
+        self.has_run_long = False  # a replica ran long: tasks of a service are never done
+        self.retry_at = 0.0  # no task is started before that, after failures
+        # Until when it waits for machines that have its image.
+        self.image_affinity_until: float | None = None
 
     @property
     def name(self) -> str:
+        """The job's id."""
         return self.spec.nameId
 
     @property
     def cancelled(self) -> bool:
-        """Whether its user asked for its end: nothing of it is of use any more."""
-        return self.aborted or self.aborting or self.told
+        """Whether its user cancelled it, so that its tasks are of no use any more."""
+        return self.aborted or self.aborting or self.reported_cancelled
 
     @property
-    def group(self) -> str:
-        """Its queue in a round.
+    def round_queue(self) -> str:
+        """Its queue in a scheduling round.
 
-        Work that is as urgent as what needs it stands by itself: one such job must not lift
-        all of its queue above others.
+        A job whose urgency is raised by its dependents gets a queue of its own, so that it does
+        not move its whole regular queue ahead of others.
         """
-        lifted = self.spec.rank != self.asked.rank
+        lifted = self.spec.urgency_rank != self.submitted_spec.urgency_rank
         return f"{self.queue}#{self.spec.urgency}" if lifted else self.queue
 
     @property
     def value(self) -> JobValue:
-        """Its record."""
-        return JobValue(self.asked, self.at, self.aborted, self.apart)
+        """The job's record."""
+        return JobValue(
+            self.submitted_spec, self.accepted_at, self.aborted, self.stored_dependencies
+        )
 
-    def hold(self) -> None:
-        """It waits for other jobs: until `release` nothing of it waits for room."""
-        self.held, self.waiting = True, Waiting(0)
+    def block(self) -> None:
+        """Take its tasks out of scheduling until `unblock`, because dependencies are not done."""
+        self.is_blocked, self.waiting = True, WaitingTasks(0)
 
-    def release(self, at: float) -> None:
-        """All that it waited for is durably done, the last of it at wall time `at`."""
-        self.held, self.open_at = False, max(self.at, at)
-        self.waiting = Waiting(self.spec.tasks)
+    def unblock(self, at: float) -> None:
+        """Make it schedulable: its dependencies are durably done, the last since wall time `at`."""
+        self.is_blocked, self.eligible_at = False, max(self.accepted_at, at)
+        self.waiting = WaitingTasks(self.spec.tasks)
         for page in self.pages.values():
             for index in (*page.done, *page.live):
                 self.waiting.remove(index)
 
     def page_of(self, index: int) -> Page:
+        """Return the page of a task, creating it if needed."""
         number = index // constants.PAGE_TASKS
         page = self.pages.get(number)
         if page is None:
@@ -362,46 +381,48 @@
         return page
 
     def load_page(self, number: int, value: PageValue, stamp: int) -> None:
-        """Take over a checkpoint."""
+        """Restore a page from its checkpoint."""
         page = self.page_of(number * constants.PAGE_TASKS)
-        page.next, page.stamp, page.upto = value.n, stamp, value.u
+        page.next_try, page.stamp, page.durable_lsn = value.n, stamp, value.u
         for name in value.f:
-            self.failed_on.setdefault(name, 1)
+            self.failures_by_machine.setdefault(name, 1)
         for low, high in value.d:
             for index in range(low, high + 1):
-                self._done(page, index)
+                self._mark_done(page, index)
         for index, (try_number, machine) in value.l.items():
-            self._live(page, Attempt(self, index, try_number, machine, 0))
+            self._add_live(page, Attempt(self, index, try_number, machine, 0))
 
     def replay(self, lsn: int, ops: list[tuple[int, int, str | int]]) -> set[int]:
-        """Take over what the log says; the pages that it tells something new."""
-        told = set()
-        for index, number, what in ops:
+        """Apply a log entry's operations; returns the numbers of the pages that they changed."""
+        changed_pages = set()
+        for index, number, event in ops:
             page = self.page_of(index)
-            if lsn <= page.upto:
+            if lsn <= page.durable_lsn:
                 continue
-            told.add(index // constants.PAGE_TASKS)
-            if isinstance(what, str):
-                page.next = max(page.next, number + 1)
-                self._live(page, Attempt(self, index, number, what, 0))
+            changed_pages.add(index // constants.PAGE_TASKS)
+            if isinstance(event, str):
+                page.next_try = max(page.next_try, number + 1)
+                self._add_live(page, Attempt(self, index, number, event, 0))
                 continue
             attempt = page.live.get(index)
             if attempt is not None and attempt.number == number:
-                if what == FAILED:
-                    self.failed(attempt.index, attempt.machine)
-                self._over(page, attempt, what == DONE)
-        return told
+                if event == FAILED:
+                    self.record_failure(attempt.index, attempt.machine)
+                self._remove_live(page, attempt, event == DONE)
+        return changed_pages
 
     def checkpoint(self, number: int, upto: int) -> PageValue:
-        """A page as it is written; it stands for the log up to that entry."""
-        failed = [] if self.proven else sorted(self.failed_on)[: constants.FAILED_KEPT]
+        """Return a page's checkpoint, which replaces the log up to the entry `upto`."""
+        failed = (
+            [] if self.has_succeeded else sorted(self.failures_by_machine)[: constants.FAILED_KEPT]
+        )
         return self.pages[number].value(upto, failed)
 
-    def parted(self, number: int, upto: int, value_b: int) -> tuple[PageValue, list[Op]]:
-        """A checkpoint for which a value is too small, and what is to be told to the log again.
+    def split_checkpoint(self, number: int, upto: int, value_b: int) -> tuple[PageValue, list[Op]]:
+        """Return a checkpoint that fits `value_b` bytes, and operations to append to the log again.
 
-        It keeps what is done and as many live attempts as fit; the others have to follow in
-        the log, behind the entry that the page stands for.
+        The checkpoint has all done tasks and as many live attempts as fit. The other attempts
+        have to follow in the log, after the entry up to which the page replaces it.
         """
         value = self.checkpoint(number, upto)
         live, value.l = value.l, {}
@@ -415,87 +436,88 @@
                 ops.append(Op(self.name, index, try_number, machine))
         return value, ops
 
-    def _live(self, page: Page, attempt: Attempt) -> None:
+    def _add_live(self, page: Page, attempt: Attempt) -> None:
         page.live[attempt.index] = self.live[attempt.index] = attempt
         self.waiting.remove(attempt.index)
 
-    def _done(self, page: Page, index: int) -> None:
+    def _mark_done(self, page: Page, index: int) -> None:
         page.done.add(index)
         self.waiting.remove(index)
         self.done += 1
 
-    def _over(self, page: Page, attempt: Attempt, done: bool) -> None:
+    def _remove_live(self, page: Page, attempt: Attempt, done: bool) -> None:
         del page.live[attempt.index], self.live[attempt.index]
         if done:
-            self._done(page, attempt.index)
+            self._mark_done(page, attempt.index)
         else:
             self.waiting.add(attempt.index)
 
-    def next_try(self) -> int:
-        """A try number that no task of the job has had: a gang's tasks share one."""
-        return max((page.next for page in self.pages.values()), default=1)
+    def next_try_number(self) -> int:
+        """Return a try number that no task of the job has had; a gang's tasks share one."""
+        return max((page.next_try for page in self.pages.values()), default=1)
 
     def place(self, index: int, machine: str, number: int | None = None) -> Attempt:
-        """Decide an attempt; it may be launched once the log holds it."""
+        """Create an attempt on a machine; it may be launched once the log durably holds it."""
         page = self.page_of(index)
         if number is None:
-            number = page.next
-        op = self.log.add(Op(self.name, index, number, machine))
+            number = page.next_try
+        op = self.oplog.add(Op(self.name, index, number, machine))
         attempt = Attempt(self, index, number, machine, op)
-        page.next = number + 1
-        self._live(page, attempt)
+        page.next_try = number + 1
+        self._add_live(page, attempt)
         return attempt
 
     def finish(self, attempt: Attempt, done: bool, failed: bool = False) -> None:
-        """An attempt is over (or surely gone); its task is done or waits again."""
+        """End an attempt that is over or surely gone; its task is done or waits again."""
         page = self.page_of(attempt.index)
         if page.live.get(attempt.index) is not attempt:
             return
         done = done and self.spec.shape != "service"
-        end = DONE if done else FAILED if failed else OVER
-        self.log.add(Op(self.name, attempt.index, attempt.number, end))
+        end = DONE if done else FAILED if failed else INTERRUPTED
+        self.oplog.add(Op(self.name, attempt.index, attempt.number, end))
         if failed:
-            self.failed(attempt.index, attempt.machine)
-        self._over(page, attempt, done)
+            self.record_failure(attempt.index, attempt.machine)
+        self._remove_live(page, attempt, done)
 
-    def failed(self, index: int, machine: str) -> None:
-        """An attempt at one of its tasks failed there."""
-        if self.faulty and not self.live.keys() - {index}:
-            self.probes += 1
-        self.failed_on[machine] = self.failed_on.get(machine, 0) + 1
+    def record_failure(self, index: int, machine: str) -> None:
+        """Count a failed attempt of a task on a machine."""
+        if self.is_faulty and not self.live.keys() - {index}:
+            self.failed_probes += 1
+        self.failures_by_machine[machine] = self.failures_by_machine.get(machine, 0) + 1
 
     @property
-    def proven(self) -> bool:
-        """Some task was completed, or a replica ran for long: what fails is the machine's fault."""
-        return self.done > 0 or self.ran
+    def has_succeeded(self) -> bool:
+        """Whether a task was done or a replica ran long; failures are then blamed on machines."""
+        return self.done > 0 or self.has_run_long
 
     @property
-    def faulty(self) -> bool:
-        """It failed on several machines and never succeeded: held for a mistake of its own."""
-        return not self.proven and len(self.failed_on) >= constants.FAULTY_MACHINES
+    def is_faulty(self) -> bool:
+        """Whether it failed on FAULTY_MACHINES machines and never succeeded; starts are limited."""
+        return not self.has_succeeded and len(self.failures_by_machine) >= constants.FAULTY_MACHINES
 
     @property
-    def startable(self) -> int:
-        """How many tasks may be started now: of a faulty job one as a probe, or `trials` at once.
+    def startable_count(self) -> int:
+        """How many tasks may be started now; of a faulty job at most `probe_limit` run at once.
 
-        A gang's probe is the whole gang: one of its tasks alone never starts, and would wait.
+        The probe of a faulty gang is the whole gang, since one of its tasks alone never starts.
         """
-        if not self.faulty or (self.spec.shape == "gang" and not self.live):
+        if not self.is_faulty or (self.spec.shape == "gang" and not self.live):
             return len(self.waiting)
-        trials = 0 if self.spec.shape == "gang" else self.trials
+        trials = 0 if self.spec.shape == "gang" else self.probe_limit
         return min(max(0, trials - len(self.live)), len(self.waiting))
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
+        """Whether all tasks are done; never for a service or an aborted job."""
         return not self.aborted and self.spec.shape != "service" and self.done == self.spec.tasks
 
     @property
-    def over(self) -> bool:
-        """Nothing is left to do but the final record."""
-        return self.complete or (self.aborted and not self.live)
+    def is_over(self) -> bool:
+        """Whether only the final record is left to be written."""
+        return self.is_complete or (self.aborted and not self.live)
 
     def status(self) -> dict[str, Any]:
-        """What a user is told while the job is in the leader's book."""
+        """Return the status that users get while the job is unfinished."""
         running = sum(1 for a in self.live.values() if a.state in ("running", "saving"))
         state = "withdrawn" if self.aborted else "running" if running else "pending"
         return {"nameId": self.name, "status": state, "done": self.done, "running": running}
--- a/src/chalkgrade/region/world.py
+++ b/src/chalkgrade/region/world.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from chalkgrade.membership.presence import MEMBERS_PREFIX
+from chalkgrade.membership.registration import MEMBERS_PREFIX
 from chalkgrade.outside import NoAnswer, Reply
 from chalkgrade.region.idle import IdleRoom
 from chalkgrade.region.loop import MEMBER, Clock, VirtualLoop
@@ -18,7 +18,7 @@
 from chalkgrade.region.worker import WORKER_PORT
 from chalkgrade.serving.node import Node
 from chalkgrade.settings import Settings
-from chalkgrade.sharing.standing import line
+from chalkgrade.sharing.wait_reasons import format_wait_reasons
 
 
 class _Http:
@@ -102,7 +102,7 @@
                 rows = {
                     key: n for key, n in term.scheduling.standing().items() if key[0] == jobclass
                 }
-                return f"{member}: {line(rows) or 'nothing waits'}"
+                return f"{member}: {format_wait_reasons(rows) or 'nothing waits'}"
         return "nobody leads"
 
     def boot(self, member: str, home: str | None = None) -> None:
--- a/src/chalkgrade/serving/handover.py
+++ b/src/chalkgrade/serving/handover.py
@@ -1,7 +1,8 @@
-"""Planned handover: a leader that lives but does not serve gives the lead away.
+"""Planned handover: a leader that runs but can't serve transfers the lead.
 
-Only to somebody that is surely better by a proof it gives just then, and not to and fro
-(`membership.fitness`). One commit moves the key (`Leadership.hand_over`).
+The successor has to prove, at the time of the handover, that it reaches what the leader does
+not. Pauses between attempts keep the lead from moving back and forth (`membership.leader_health`).
+A single commit transfers the leader key (`Leadership.hand_over`).
 """
 
 import asyncio
@@ -12,28 +13,28 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.membership.fitness import CLOUD, WORKERS, Fitness
+from chalkgrade.membership.leader_health import CLOUD, WORKERS, LeaderHealth
+from chalkgrade.membership.messages import leader_preference
 from chalkgrade.membership.views import ALIVE, Views
-from chalkgrade.membership.words import placed
 from chalkgrade.outside import Clock, NoAnswer, Peers
 from chalkgrade.renting.cloud import Cloud
+from chalkgrade.state.client import NotExecuted, Rejected
 from chalkgrade.state.leadership import Leadership
-from chalkgrade.state.ledger import NotExecuted, Rejected
 
 log = logging.getLogger("chalkgrade.handover")
 
 
-class Ready(msgspec.Struct):
-    """A successor's answer: its lease, and the mark by which it knows the key for its own."""
+class SuccessorOffer(msgspec.Struct):
+    """A successor's answer: its lease, and the nonce that marks the leader key as its own."""
 
-    permit: int
+    permit: int  # the lease in the state service
     nonce: str
-    lease_s: float
-    home: str = ""
+    lease_s: float  # duration of that lease, s
+    home: str = ""  # see `LeaderValue`
 
 
 class Handover:
-    """Both sides: the leader that gives, and the controller that takes."""
+    """Both sides of a handover: the leader that transfers and the controller that takes over."""
 
     def __init__(
         self,
@@ -45,31 +46,35 @@
         report_s: float,
         machines: Callable[[], int],
     ) -> None:
+        """`report_s`: the workers' report interval; `machines`: counts those known to be up."""
         self.clock = clock
         self.peers = peers
         self.views = views
         self.leadership = leadership
         self.cloud = cloud
-        self.machines = machines  # that the leader knows to be up
-        self.fitness = Fitness(clock, report_s)
-        self.direct_at = -1e9  # when a worker's own report last reached us
-        self.counts: dict[str, int] = {}
+        self.reporting_machine_count = machines
+        self.fitness = LeaderHealth(clock, report_s)
+        self.direct_report_at = -1e9  # when a worker last reported to this controller directly
+        self.counts: dict[str, int] = {}  # handovers by outcome: given, failed
 
     async def run(self) -> None:
-        """Look at ourselves once in a while, if we lead."""
+        """While leading, check periodically whether the lead should be transferred."""
         while True:
             await asyncio.sleep(constants.FITNESS_EVERY_S)
-            if not self.leadership.acting():
+            if not self.leadership.may_act():
                 continue
             cloud = self.cloud
-            why = self.fitness.why(
-                cloud.answered_at, cloud.reached(), self.direct_at, self.machines()
+            why = self.fitness.handover_reason(
+                cloud.answered_at,
+                cloud.reached(),
+                self.direct_report_at,
+                self.reporting_machine_count(),
             )
             if why:
-                await self.give(why)
+                await self.transfer_lead(why)
 
-    async def give(self, why: str) -> bool:
-        """Look for somebody better and hand over; whether the key was moved."""
+    async def transfer_lead(self, why: str) -> bool:
+        """Try to transfer the lead to a willing candidate; True if the key was transferred."""
         moved = False
         for member in self.candidates()[: constants.HANDOVER_ASKED]:
             try:
@@ -77,40 +82,48 @@
                 reply = await self.peers.ask(member, message, constants.SUCCEED_S)
                 if reply.get("status") != 200:
                     continue
-                ready = msgspec.convert(reply.get("body"), Ready)
+                ready = msgspec.convert(reply.get("body"), SuccessorOffer)
             except (NoAnswer, msgspec.ValidationError) as error:
-                log.debug("%s can't succeed: %s", member, error)
+                log.debug("handover refused: %s can't take over: %s", member, error)
                 continue
-            if not self.leadership.acting():
+            if not self.leadership.may_act():
                 break
-            log.warning("handing the lead to %s: we reach no %s", member, why)
+            log.warning(
+                "transferring the lead to %s: this leader does not reach the %s", member, why
+            )
             moved = await self.leadership.hand_over(member, *msgspec.structs.astuple(ready))
             self.counts["given" if moved else "failed"] = (
                 self.counts.get("given" if moved else "failed", 0) + 1
             )
             break
-        self.fitness.tried(moved)
+        self.fitness.record_handover(moved)
         return moved
 
     def candidates(self) -> list[str]:
-        """Who would lead next, the best placed first."""
-        words = [w for w in self.views.fresh() if self.views.state(w.member) == ALIVE]
-        words = [word for word in words if not word.aside]
-        return [word.member for word in sorted(words, key=placed)]
-
-    async def succeed(self, why: Any) -> dict[str, Any]:
-        """Asked to take over: prove that we reach what the leader does not, and get ready."""
-        later = {"status": 503, "body": {}}
-        if not self.leadership.able() or self.leadership.token:
-            return later
+        """Return the controllers that could lead next, the most suitable first."""
+        statuses = [
+            s for s in self.views.recent_statuses() if self.views.state_of(s.member) == ALIVE
+        ]
+        statuses = [status for status in statuses if not status.aside]
+        return [status.member for status in sorted(statuses, key=leader_preference)]
+
+    async def answer_takeover_request(self, why: Any) -> dict[str, Any]:
+        """Answer a leader that asks this controller to take over.
+
+        `why` names what the leader does not reach. The answer is a SuccessorOffer if this
+        controller reaches it, otherwise status 503.
+        """
+        refusal = {"status": 503, "body": {}}
+        if not self.leadership.is_eligible() or self.leadership.token:
+            return refusal
         try:
             if why == CLOUD:
                 async with asyncio.timeout(constants.SUCCEED_S / 2):
                     await self.cloud.flavors()
-            elif why != WORKERS or self.clock.now() - self.direct_at > constants.UNFIT_S:
-                return later
-            offer = await self.leadership.offer()
+            elif why != WORKERS or self.clock.now() - self.direct_report_at > constants.UNFIT_S:
+                return refusal
+            offer = await self.leadership.prepare_takeover()
         except (NoAnswer, NotExecuted, Rejected, TimeoutError):
-            return later
-        ready = Ready(offer.permit, offer.nonce, offer.lease_s, self.leadership.home)
+            return refusal
+        ready = SuccessorOffer(offer.permit, offer.nonce, offer.lease_s, self.leadership.home)
         return {"status": 200, "body": msgspec.to_builtins(ready)}
--- a/src/chalkgrade/serving/metrics.py
+++ b/src/chalkgrade/serving/metrics.py
@@ -1,16 +1,18 @@
-"""The page for Prometheus."""
+"""The metrics page in the Prometheus text format."""
 
 from chalkgrade.serving.node import Node
 
 
-def metrics(node: Node) -> bytes:
-    """The Prometheus page; its library is loaded at the first scrape, not at the start."""
+def render_metrics(node: Node) -> bytes:
+    """Render a node's samples; prometheus_client is imported at the first scrape, not at start."""
     from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest
 
     registry = CollectorRegistry()
     for sample in node.samples():
         kind = Counter if sample.counter else Gauge
-        family = kind(f"chalkgrade_{sample.name}", sample.text, sample.labels, registry=registry)
+        family = kind(
+            f"chalkgrade_{sample.name}", sample.help_text, sample.labels, registry=registry
+        )
         for labels, value in sample.values.items():
             child = family.labels(*labels) if labels else family
             if isinstance(child, Counter):
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -1,111 +1,128 @@
-"""What each queue has and wants in a round: the input of steps 4 to 7."""
+"""Calculates what each queue uses and wants in a round: the input of steps 4 to 7 of BoPF."""
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gates
 from chalkgrade.settings import Team
-from chalkgrade.sharing.floor import Floor
+from chalkgrade.sharing.bopf import QueueDemand, QueueKind, admit
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.shares import Demand, Kind, admit
 from chalkgrade.vectors import ZERO, Vector, dominant, plus
 
 
-class Demands:
-    """The demands of one round. `least`: the lowest urgency among what may start."""
+class DemandCalculator:
+    """Calculates the demands of one round.
+
+    `queue_usage` maps a queue to the resources its running tasks hold. `lowest_urgency` is that
+    of the least urgent job that may start in the round.
+    """
 
     def __init__(
         self,
         queues: Queues,
         teams: dict[str, Team],
-        floor: Floor,
-        held: dict[str, Vector],
-        least: int,
-        gates: Gates,
+        snapshot: ClusterSnapshot,
+        queue_usage: dict[str, Vector],
+        lowest_urgency: int,
+        constraints: ConstraintSet,
     ) -> None:
-        self.gates = gates
+        self.constraints = constraints
         self.queues = queues
         self.teams = teams
-        self.floor = floor
-        self.held = held
-        self.least = least
+        self.snapshot = snapshot
+        self.queue_usage = queue_usage
+        self.lowest_urgency = lowest_urgency
+
+    def by_queue(self, ready: dict[str, list[Job]]) -> dict[str, QueueDemand]:
+        """Return each queue's demand: its kind by steps 1 to 3 and what its bursts need now.
 
-    def of(self, ready: dict[str, list[Job]]) -> dict[str, Demand]:
-        """Classes by steps 1 to 3, and what each queue's bursts need now."""
+        `ready` maps a queue to its jobs that may start. The kinds are stored in the queue records.
+        """
         queues = self.queues
         for jobs in ready.values():
-            queues.record(jobs[0])
-        # C is 0 at the start: what is guaranteed will be rented, so it counts as room.
+            queues.queue_record(jobs[0])
+        # The capacity C of the paper is 0 before any machine reports. What is guaranteed to teams
+        # will be rented, so it counts as capacity in admission.
         teams = self.teams.values()
-        promised = (sum(t.cpus for t in teams), sum(t.gpus for t in teams), 0.0)
-        admission_room = tuple(max(a, b) for a, b in zip(queues.peak_room, promised, strict=True))
+        guaranteed = (sum(t.cpus for t in teams), sum(t.gpus for t in teams), 0.0)
+        admission_room = tuple(
+            max(a, b) for a, b in zip(queues.peak_capacity, guaranteed, strict=True)
+        )
         declarations = queues.declarations()
         kinds = admit(declarations, admission_room, queues.settings.operator.nmin)
-        demands: dict[str, Demand] = {}
-        for queue, jobs in sorted(ready.items(), key=lambda q: -max(j.spec.rank for j in q[1])):
-            guest = queues.guest(jobs[0])
-            kind = Kind.ELASTIC if guest else kinds.get(queue, Kind.ELASTIC)
-            record = queues.record(jobs[0])
+        demands: dict[str, QueueDemand] = {}
+        for queue, jobs in sorted(
+            ready.items(), key=lambda q: -max(j.spec.urgency_rank for j in q[1])
+        ):
+            best_effort = queues.is_best_effort(jobs[0])
+            kind = QueueKind.ELASTIC if best_effort else kinds.get(queue, QueueKind.ELASTIC)
+            record = queues.queue_record(jobs[0])
             if queue == jobs[0].queue and record.kind != kind.value:
                 record.kind = kind.value
-                queues.touch(queue)
-            wants, task, remaining = self.held[queue], ZERO, 0.0
+                queues.mark_changed(queue)
+            wanted, task, remaining_work = self.queue_usage[queue], ZERO, 0.0
             for job in jobs:
-                count = self.gates.able(job, job.startable)
-                wants = plus(wants, tuple(a * count for a in job.spec.room))
-                task = tuple(max(a, b) for a, b in zip(task, job.spec.room, strict=True))
-                work = (count + len(job.live)) * queues.run_s(job)
-                remaining += work * dominant(job.spec.room, self.floor.capacity)
+                count = self.constraints.max_demand(job, job.startable_count)
+                wanted = plus(wanted, tuple(a * count for a in job.spec.resources))
+                task = tuple(max(a, b) for a, b in zip(task, job.spec.resources, strict=True))
+                work = (count + len(job.live)) * queues.expected_run_s(job)
+                remaining_work += work * dominant(job.spec.resources, self.snapshot.capacity)
             declaration = declarations.get(queue)
             rate = declaration.rate if declaration else ZERO
-            # Bursts that overlap add up: the rate is at least what they hold and what their
-            # next bounds still lack. (Jobs without a waiting task hold room, too: counted
-            # for some only, they would use up what the others are granted.)
-            now = self.held[queue]
+            # Overlapping bursts add up: the rate is at least what the queue holds plus what its
+            # jobs still lack for their next bounds. The sum starts from all that the queue holds,
+            # because jobs without waiting tasks hold resources too; if they were left out, they
+            # would use up what the other jobs are granted.
+            needed_now = self.queue_usage[queue]
             for job in jobs:
-                lack = min(job.startable, max(0, self.needed(job) - len(job.live)))
-                lack = self.gates.able(job, lack)
-                now = plus(now, tuple(a * lack for a in job.spec.room))
-            demands[queue] = Demand(
+                missing = min(
+                    job.startable_count, max(0, self.tasks_needed_now(job) - len(job.live))
+                )
+                missing = self.constraints.max_demand(job, missing)
+                needed_now = plus(needed_now, tuple(a * missing for a in job.spec.resources))
+            demands[queue] = QueueDemand(
                 queue,
                 jobs[0].spec.owner,
                 kind,
                 task,
-                wants,
-                tuple(max(a, b) for a, b in zip(rate, now, strict=True)),
-                remaining,
-                urgency=max(job.spec.rank for job in jobs),
-                needed=ZERO if guest else now,
-                guest=guest,
-                held=self.held[queue],
+                wanted,
+                tuple(max(a, b) for a, b in zip(rate, needed_now, strict=True)),
+                remaining_work,
+                urgency=max(job.spec.urgency_rank for job in jobs),
+                needed_now=ZERO if best_effort else needed_now,
+                is_best_effort=best_effort,
+                usage=self.queue_usage[queue],
             )
         return demands
 
-    def stays(self, job: Job) -> bool:
-        """Whether enough machines hold a job's image, so that it need not be fetched to others.
+    def waits_for_local_image(self, job: Job) -> bool:
+        """Whether a job should wait for machines that already hold its image.
 
-        Their CPUs come free about once a run; in the job's slack that has to
-        suffice several times over, since others want them too. Only for half of
-        that time: machines that hold the image may never suit this job.
+        The CPUs of those machines become free about once per run time. Within the job's slack
+        they must cover its waiting tasks several times over, since other jobs want them too. The
+        job waits for at most half of that time, because the machines that hold the image may
+        never become usable for it.
         """
         queues = self.queues
-        if not job.spec.pullGb or job.spec.shape == "gang" or not queues.homely(job):
+        if not job.spec.pullGb or job.spec.shape == "gang" or not queues.prefers_local_image(job):
             return False
-        run_s = queues.run_s(job)
-        least = 2 * (run_s + queues.fetch_s(job))
-        slack = queues.slack(job)
-        time = least if slack == float("inf") else max(slack, least)
-        turns = self.floor.known[job.spec.bundle] * time / run_s
-        if turns < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
+        run_s = queues.expected_run_s(job)
+        min_wait_s = 2 * (run_s + queues.image_fetch_s(job))
+        slack_s = queues.slack_s(job)
+        wait_s = min_wait_s if slack_s == float("inf") else max(slack_s, min_wait_s)
+        cpu_runs = self.snapshot.image_cpus[job.spec.bundle] * wait_s / run_s
+        if cpu_runs < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
             return False
-        if job.stays_until is None:
-            job.stays_until = self.floor.now + time / 2
-        return self.floor.now < job.stays_until
+        if job.image_affinity_until is None:
+            job.image_affinity_until = self.snapshot.now + wait_s / 2
+        return self.snapshot.now < job.image_affinity_until
 
-    def needed(self, job: Job) -> int:
-        """What a job's next bound needs now; the least urgent work is in time just in time.
+    def tasks_needed_now(self, job: Job) -> int:
+        """How many of a job's tasks must run now to meet its next bound.
 
-        More urgent work gets its room early: estimates err, images come late,
-        and what runs just in time for it would keep it waiting.
+        Work of the lowest urgency is scheduled to end exactly at its bound. More urgent work gets
+        its resources earlier, because estimates err, images arrive late, and less urgent tasks
+        that were started in the meantime would keep it waiting.
         """
-        early = job.spec.rank > self.least
-        return self.queues.needed(job, constants.EARLY_PART if early else 1.0)
+        early = job.spec.urgency_rank > self.lowest_urgency
+        return self.queues.required_concurrency(job, constants.EARLY_PART if early else 1.0)
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -1,7 +1,7 @@
-"""One scheduling round: steps 4 to 7 of the design on the room that reports.
+"""One scheduling round: steps 4 to 7 of BoPF on the machines that report.
 
-Everything is worked out from the book and the fleet as they are now; what is
-decided goes back into both. No input or output.
+Everything is computed from the current jobs and fleet, and the decisions are stored in both. A
+round performs no input or output.
 """
 
 import itertools
@@ -10,28 +10,44 @@
 from collections.abc import Iterable, Sequence
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import ConstraintSet, StartConstraint
 from chalkgrade.logs import about
+from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet
-from chalkgrade.machines.kinds import Flavor
-from chalkgrade.machines.placement import Picker, Slot, choose_all, occupy
+from chalkgrade.machines.placement import Slot, SlotPicker, choose_gang_slots, occupy_slot
 from chalkgrade.outside import Clock
 from chalkgrade.record.jobs import Job
-from chalkgrade.seams.gates import Gate, Gates
 from chalkgrade.settings import Team
-from chalkgrade.sharing.demands import Demands
-from chalkgrade.sharing.floor import Floor
-from chalkgrade.sharing.gates import NO_LIMIT, KeptRoom, Maxima, Pauses, Zones
-from chalkgrade.sharing.largest import overdue
+from chalkgrade.sharing.bopf import (
+    QueueDemand,
+    allocate,
+    fair_shares,
+    round_up_to_tasks,
+    spare_capacity_order,
+)
+from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
+from chalkgrade.sharing.constraints import (
+    UNLIMITED,
+    JobBackoff,
+    SlotReservations,
+    TeamLimits,
+    ZoneConstraints,
+)
+from chalkgrade.sharing.demands import DemandCalculator
+from chalkgrade.sharing.largest_jobs import overdue_largest_jobs
+from chalkgrade.sharing.preemption import Preemptor
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.sharing.shares import Demand, allocate, fair_shares, spare_order, whole_tasks
-from chalkgrade.sharing.stops import MakingRoom
 from chalkgrade.vectors import ZERO, Vector, dominant, fits, minus, plus
 
 log = logging.getLogger("chalkgrade.sharing")
 
 
-class Round:
-    """Places what can be placed. `gates`: those of other subsystems."""
+class SchedulingRound:
+    """Places the waiting tasks that can be placed now.
+
+    `constraints` are the start constraints of other subsystems, and `preempt` says whether the
+    round may stop running tasks.
+    """
 
     def __init__(
         self,
@@ -42,7 +58,7 @@
         queues: Queues,
         clock: Clock,
         preempt: bool = True,
-        gates: Sequence[Gate] = (),
+        constraints: Sequence[StartConstraint] = (),
     ) -> None:
         self.jobs = jobs
         self.fleet = fleet
@@ -51,355 +67,404 @@
         self.queues = queues
         self.now = clock.now()
         self.preempt = preempt
-        self.maxima, self.zones, self.kept = Maxima(teams, queues), Zones(fleet), KeptRoom()
-        # A seat comes before the maximum: for work without one nobody is stopped.
-        self.gates = Gates([Pauses(), *gates, self.maxima, self.zones, self.kept])
-        self.held: dict[str, Vector] = defaultdict(lambda: ZERO)
-        self.patient = True  # work may wait for machines that hold its image
-        self._pickers: dict[object, Picker] = {}
-        self.stopped = 0  # running tasks that were told to stop
-        self.guarding = False  # placing for queues that starve
+        self.team_limits, self.zone_constraints, self.reservations = (
+            TeamLimits(teams, queues),
+            ZoneConstraints(fleet),
+            SlotReservations(),
+        )
+        # Constraints of other subsystems, such as licence seats, precede the team limits, so that
+        # nothing is preempted for work that would then lack a seat.
+        self.constraints = ConstraintSet(
+            [JobBackoff(), *constraints, self.team_limits, self.zone_constraints, self.reservations]
+        )
+        self.queue_usage: dict[str, Vector] = defaultdict(lambda: ZERO)
+        self.waits_for_images = True  # jobs may wait for machines that hold their image
+        self._pickers: dict[object, SlotPicker] = {}
+        self.preempted_count = 0  # running attempts that were told to stop
+        self.placing_starved = False  # placing tasks for starved queues; protects the attempts
 
     def run(self) -> int:
-        """Place what can be placed; how many attempts were decided."""
+        """Place what can be placed; return the number of new attempts."""
         ready: dict[str, list[Job]] = defaultdict(list)
-        self.gates.begin(self.jobs.values(), self.now)
+        self.constraints.begin_round(self.jobs.values(), self.now)
         for job in self.jobs.values():
             if job.live:
-                taken = tuple(a * len(job.live) for a in job.spec.room)
-                self.held[job.group] = plus(self.held[job.group], taken)
-            if self.gates.ready(job):
-                ready[job.group].append(job)
+                job_usage = tuple(a * len(job.live) for a in job.spec.resources)
+                self.queue_usage[job.round_queue] = plus(
+                    self.queue_usage[job.round_queue], job_usage
+                )
+            if self.constraints.is_ready(job):
+                ready[job.round_queue].append(job)
         if not ready:
             return 0
-        self.least = min(job.spec.rank for jobs in ready.values() for job in jobs)
-        rooms = {job.spec.room for jobs in ready.values() for job in jobs}
-        least_cpus = min(room[0] for room in rooms)
-        self.floor = Floor(self.fleet, self.flavors, self.queues, least_cpus, self.now)
-        if not self.floor.slots and not self.floor.full:
+        self.lowest_urgency = min(job.spec.urgency_rank for jobs in ready.values() for job in jobs)
+        rooms = {job.spec.resources for jobs in ready.values() for job in jobs}
+        min_task_cpus = min(room[0] for room in rooms)
+        self.snapshot = ClusterSnapshot(
+            self.fleet, self.flavors, self.queues, min_task_cpus, self.now
+        )
+        if not self.snapshot.slots and not self.snapshot.full_machines:
             return 0
-        self.making = MakingRoom(
-            self.floor, self.queues, self.gates, self.maxima, self.kept, rooms, self.preempt
+        self.preemptor = Preemptor(
+            self.snapshot,
+            self.queues,
+            self.constraints,
+            self.team_limits,
+            self.reservations,
+            rooms,
+            self.preempt,
         )
-        placed = self._fill(ready)
-        self.stopped = self.making.stopped
+        placed = self._place_ready_jobs(ready)
+        self.preempted_count = self.preemptor.preempted_count
         return placed
 
-    def _fill(self, ready: dict[str, list[Job]]) -> int:
-        """Guaranteed work, then steps 4 to 7."""
-        capacity = self.floor.capacity
-        self.demands = Demands(
-            self.queues, self.teams, self.floor, self.held, self.least, self.gates
+    def _place_ready_jobs(self, ready: dict[str, list[Job]]) -> int:
+        """Place guaranteed work, then what steps 4 to 7 grant; return the number of attempts."""
+        capacity = self.snapshot.capacity
+        self.demand_calculator = DemandCalculator(
+            self.queues,
+            self.teams,
+            self.snapshot,
+            self.queue_usage,
+            self.lowest_urgency,
+            self.constraints,
         )
-        placed = self._place_first()
+        placed = self._place_preassigned()
         for jobs in ready.values():
-            jobs.sort(key=self.queues.order)
-        placed += self._fill_guarantees(ready)
-        demands = self.demands.of(ready)
-        self.guarding = True
-        placed += self._fill_starving(ready, demands, capacity)
-        self.guarding = False
-        first, rest = allocate(list(demands.values()), capacity)
-        for _, group in itertools.groupby(first, key=lambda entry: demands[entry[0]].urgency):
-            # What bounds need, shortest remaining first: in an overload, parts of all
-            # bursts would end none of them in time. Anywhere, but first near its image.
-            alike = list(group)
+            jobs.sort(key=self.queues.scheduling_key)
+        placed += self._place_guaranteed(ready)
+        demands = self.demand_calculator.by_queue(ready)
+        self.placing_starved = True
+        placed += self._place_starved(ready, demands, capacity)
+        self.placing_starved = False
+        needed_grants, other_grants = allocate(list(demands.values()), capacity)
+        for _, group in itertools.groupby(
+            needed_grants, key=lambda entry: demands[entry[0]].urgency
+        ):
+            # What completion bounds need, shortest remaining first: in an overload, serving parts
+            # of all bursts would complete none in time. Machines with the image come first.
+            same_urgency = list(group)
             for local in (True, False):
-                for queue, grant in alike:
-                    budget = minus(grant, self.held[queue])
-                    placed += self._place_all(ready[queue], budget, not local, local)[0]
-        first_jobs = [job for queue, _ in first for job in ready[queue]]
-        self.making.stop_savers(sorted(first_jobs, key=self.queues.order), self.demands.needed)
-        for queue, grant in rest:
-            budget = minus(grant, self.held[queue])
-            placed += self._fill_near_first(ready[queue], budget, reserve=True)
-        order = spare_order(demands.values(), lambda d: dominant(self.held[d.queue], capacity))
-        ranks = itertools.groupby(order, key=lambda q: (demands[q].guest, demands[q].urgency))
+                for queue, grant in same_urgency:
+                    budget = minus(grant, self.queue_usage[queue])
+                    placed += self._place_within_budget(ready[queue], budget, not local, local)[0]
+        needed_jobs = [job for queue, _ in needed_grants for job in ready[queue]]
+        self.preemptor.preempt_checkpointed(
+            sorted(needed_jobs, key=self.queues.scheduling_key),
+            self.demand_calculator.tasks_needed_now,
+        )
+        for queue, grant in other_grants:
+            budget = minus(grant, self.queue_usage[queue])
+            placed += self._place_preferring_local(ready[queue], budget, reserve=True)
+        order = spare_capacity_order(
+            demands.values(), lambda d: dominant(self.queue_usage[d.queue], capacity)
+        )
+        ranks = itertools.groupby(
+            order, key=lambda q: (demands[q].is_best_effort, demands[q].urgency)
+        )
         for (_, urgency), names in ranks:
-            # Urgent work that is too late for its bounds would else never see two CPUs
-            # of one machine free at once: the small tasks behind it take each of them.
-            mates = [job for queue in names for job in ready[queue]]
-            placed += self._fill_near_first(mates, None, reserve=urgency > self.least)
-        # What is left would idle: fetching images there takes nothing from anybody.
-        self.patient = False
+            # Machines are reserved above the lowest urgency. Otherwise urgent work that has missed
+            # its bounds would never find two free CPUs on one machine, because the small tasks
+            # after it take each of them.
+            same_urgency_jobs = [job for queue in names for job in ready[queue]]
+            placed += self._place_preferring_local(
+                same_urgency_jobs, None, reserve=urgency > self.lowest_urgency
+            )
+        # The remaining resources would idle, so that fetching images there delays no other job.
+        self.waits_for_images = False
         for queue in order:
-            placed += self._place_all(ready[queue], None, False)[0]
+            placed += self._place_within_budget(ready[queue], None, False)[0]
         return placed
 
-    def _fill_near_first(self, jobs: list[Job], budget: Vector | None, reserve: bool) -> int:
-        """Beyond what bounds need, work goes first to where its image is.
+    def _place_preferring_local(self, jobs: list[Job], budget: Vector | None, reserve: bool) -> int:
+        """Place jobs, first on machines that hold their images; return the number of attempts.
 
-        Fetching can take as long as running, and the CPU idles meanwhile. Only
-        within one urgency: less urgent work is never preferred for its image.
+        A fetch can take as long as a run, and the CPU idles meanwhile. The preference applies
+        within one urgency only: less urgent work never goes first because of its image.
         """
         placed = 0
-        for _, group in itertools.groupby(jobs, key=lambda job: job.spec.rank):
-            mates = list(group)
+        for _, group in itertools.groupby(jobs, key=lambda job: job.spec.urgency_rank):
+            same_urgency_jobs = list(group)
             for local in (True, False):
-                count, budget = self._place_all(mates, budget, reserve and not local, local)
+                count, budget = self._place_within_budget(
+                    same_urgency_jobs, budget, reserve and not local, local
+                )
                 placed += count
         return placed
 
-    def _fill_guarantees(self, ready: dict[str, list[Job]]) -> int:
-        """A team's jobs that fit within its guarantee need not wait on other teams."""
+    def _place_guaranteed(self, ready: dict[str, list[Job]]) -> int:
+        """Place jobs that fit within their team's guarantee, without regard to other teams."""
         within = []
         for team in self.teams.values():
             if team.cpus <= 0 and team.gpus <= 0:
                 continue
-            room: Vector = (team.cpus or NO_LIMIT, team.gpus or NO_LIMIT, NO_LIMIT)
+            room: Vector = (team.cpus or UNLIMITED, team.gpus or UNLIMITED, UNLIMITED)
             for job in sorted(
                 (
                     j
                     for j in self.jobs.values()
-                    if j.spec.owner == team.name and not j.aborted and not j.held
+                    if j.spec.owner == team.name and not j.aborted and not j.is_blocked
                 ),
-                # The team's urgent work counts first: else its batch jobs take, as
-                # guaranteed, the very room that was made for urgent ones.
-                key=lambda j: (-j.spec.rank, j.open_at, j.name),
+                # The team's urgent work counts first. Otherwise its batch jobs take, as
+                # guaranteed work, the resources that were freed for its urgent jobs.
+                key=lambda j: (-j.spec.urgency_rank, j.eligible_at, j.name),
             ):
-                left = job.startable + len(job.live)
-                need: Vector = tuple(a * left for a in job.spec.room)
+                left = job.startable_count + len(job.live)
+                need: Vector = tuple(a * left for a in job.spec.resources)
                 if not fits(need, room):
                     break
                 room = minus(room, need)
                 within.append(job)
         names = {j.name for jobs in ready.values() for j in jobs}
         chosen = [job for job in within if job.name in names]
-        # Over all teams: an urgent job must not lose the first machine to another team's batch.
-        chosen.sort(key=self.queues.order)
-        self.making.guaranteed = True
-        placed = self._fill_near_first(chosen, None, reserve=True)
-        self.making.return_borrowed(chosen)
-        self.making.guaranteed = False
+        # Sort across teams, so that an urgent job does not lose a machine to another team's batch
+        # job.
+        chosen.sort(key=self.queues.scheduling_key)
+        self.preemptor.within_guarantee = True
+        placed = self._place_preferring_local(chosen, None, reserve=True)
+        self.preemptor.reclaim_borrowed(chosen)
+        self.preemptor.within_guarantee = False
         return placed
 
-    def _fill_starving(
-        self, ready: dict[str, list[Job]], demands: dict[str, Demand], capacity: Vector
+    def _place_starved(
+        self, ready: dict[str, list[Job]], demands: dict[str, QueueDemand], capacity: Vector
     ) -> int:
-        """Who has waited for long gets half of its fair share, whatever the urgency of others.
+        """Give queues that have waited too long half of their fair share, whatever the urgency.
 
-        Step 6's fairness is over the long term, but what goes before it may last: urgent
-        work by the thousands, or narrow tasks that take each CPU before a whole machine is
-        free. Long is by the time of the oldest job, which is durable, so that a change of
-        leader forgets nothing. Nothing is stopped for it; room that frees up is kept.
+        Step 6 is fair over the long term, but what precedes it may last: thousands of urgent
+        tasks, or narrow tasks that take each CPU before a whole machine is free. The wait is
+        measured from the submission of the queue's oldest job, which is durable, so that it
+        survives a change of leader. Nothing is preempted for it, but what becomes free is
+        reserved.
         """
         wall = self.queues.clock.wall()
         oldest = {
-            queue: min((j.open_at for j in jobs if j.startable), default=wall)
+            queue: min((j.eligible_at for j in jobs if j.startable_count), default=wall)
             for queue, jobs in ready.items()
         }
-        late = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
-        if not late:
+        starved = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
+        if not starved:
             return 0
-        placed, given = 0, ZERO
+        placed, total_granted = 0, ZERO
         most = tuple(constants.STARVE_MOST * a for a in capacity)
         fair = fair_shares(demands.values(), self.teams, capacity)
-        elders = overdue(self.jobs.values(), wall, self.queues.slack)
+        overdue_by_queue = overdue_largest_jobs(self.jobs.values(), wall, self.queues.slack_s)
         served = []
-        for queue in sorted(late, key=oldest.__getitem__):
-            half = whole_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
-            held = dominant(self.held[queue], capacity)
+        for queue in sorted(starved, key=oldest.__getitem__):
+            half = round_up_to_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
+            held = dominant(self.queue_usage[queue], capacity)
             if held > constants.STARVE_BELOW * dominant(half, capacity):
                 served.append(queue)
                 continue
-            given = plus(given, half)
-            if not fits(given, most):
+            total_granted = plus(total_granted, half)
+            if not fits(total_granted, most):
                 break
-            if elders[queue]:
-                placed += self._fill_largest(elders[queue], half)
-            left = minus(half, self.held[queue])
-            placed += self._fill_near_first(ready[queue], left, False)
-            self._keep_for_wide(ready[queue], minus(half, self.held[queue]))
+            if overdue_by_queue[queue]:
+                placed += self._place_largest_jobs(overdue_by_queue[queue], half)
+            left = minus(half, self.queue_usage[queue])
+            placed += self._place_preferring_local(ready[queue], left, False)
+            self._reserve_for_wide_job(ready[queue], minus(half, self.queue_usage[queue]))
         for queue in served:
-            # Its own room, in another order: after those who lack theirs.
-            if elders[queue]:
-                placed += self._fill_largest(elders[queue], self.held[queue])
+            # These queues hold their share already; only its use changes, in favour of their
+            # largest jobs. Queues that lack their share come before them.
+            if overdue_by_queue[queue]:
+                placed += self._place_largest_jobs(overdue_by_queue[queue], self.queue_usage[queue])
         return placed
 
-    def _fill_largest(self, jobs: list[Job], room: Vector) -> int:
-        """The longest-waiting of a queue's largest jobs until it is done, then the next.
+    def _place_largest_jobs(self, jobs: list[Job], room: Vector) -> int:
+        """Place a queue's largest jobs, the longest-waiting one until it is done, then the next.
 
-        Together they hold no more than a part of the queue's room, one task at least. The part
-        grows to all tasks of the first job as far as half of the room holds them: in two waves
-        it takes twice as long, and the second leaves most of the part to nobody.
+        `room` is the queue's share, or what it holds. Together the largest jobs hold at most
+        `LARGEST_SHARE` of it, but at least one task, or one gang. The part grows to all tasks of
+        the first job as far as `LARGEST_MOST` of the share holds them: in two waves the job would
+        take twice as long, and most of the part would be unused during the second.
         """
-        waiting = [job for job in jobs if self.gates.ready(job)]
+        waiting = [job for job in jobs if self.constraints.is_ready(job)]
         if not waiting:
             return 0
         first, spec = waiting[0], waiting[0].spec
-        whole = tuple(a * (spec.tasks if spec.shape == "gang" else 1) for a in spec.room)
-        at_once = tuple(a * (first.startable + len(first.live)) for a in spec.room)
+        whole = tuple(a * (spec.tasks if spec.shape == "gang" else 1) for a in spec.resources)
+        at_once = tuple(a * (first.startable_count + len(first.live)) for a in spec.resources)
         most = tuple(constants.LARGEST_MOST * a for a in room)
         share = tuple(constants.LARGEST_SHARE * a for a in room)
         part = tuple(map(max, share, map(min, at_once, most), whole))
         held = ZERO
         for job in jobs:
-            held = plus(held, tuple(a * len(job.live) for a in job.spec.room))
+            held = plus(held, tuple(a * len(job.live) for a in job.spec.resources))
         left = minus(part, held)
-        placed, left_over = self._place_all(waiting, left, False, True)
-        more, left_over = self._place_all(waiting, left_over, False)
+        placed, left_over = self._place_within_budget(waiting, left, False, True)
+        more, left_over = self._place_within_budget(waiting, left_over, False)
         if left_over is not None:
-            self._keep_for_wide(waiting, left_over)
+            self._reserve_for_wide_job(waiting, left_over)
         return placed + more
 
-    def _keep_for_wide(self, jobs: list[Job], left: Vector) -> None:
-        """What of its part has found no machine keeps the machines that have room soonest."""
-        wide = next((j for j in jobs if j.startable and fits(j.spec.room, left)), None)
-        if wide is not None:
-            rooms = zip(left, wide.spec.room, strict=True)
+    def _reserve_for_wide_job(self, jobs: list[Job], left: Vector) -> None:
+        """Reserve machines for the first job that fits what is left of its queue's share."""
+        wide_job = next(
+            (j for j in jobs if j.startable_count and fits(j.spec.resources, left)), None
+        )
+        if wide_job is not None:
+            rooms = zip(left, wide_job.spec.resources, strict=True)
             count = min(int(a / want) for a, want in rooms if want > 0)
-            self.making.drain(wide, count)
+            self.preemptor.reserve_for_starved(wide_job, count)
 
-    def _place_first(self) -> int:
-        """What a gate has a machine for, as far as the other gates let it start."""
-        wanted, placed = self.gates.first(), 0
-        slots = {slot.name: slot for slot in self.floor.slots} if wanted else {}
+    def _place_preassigned(self) -> int:
+        """Place tasks for which a constraint chose a machine, if the other constraints allow it."""
+        wanted, placed = self.constraints.priority_starts(), 0
+        slots = {slot.name: slot for slot in self.snapshot.slots} if wanted else {}
         for job, index, name in wanted:
             slot = slots.get(name)
             if (
                 slot is not None
                 and index in job.waiting
-                and index not in self.floor.strange.get(job.name, ())
-                and self.gates.ready(job)
-                and self.gates.most(job, 1) > 0
-                and slot.site in self.gates.sites(job, self.floor.zones)
-                and fits(job.spec.room, slot.free)
-                and self.gates.opens(job, slot)
+                and index not in self.snapshot.unknown_tasks.get(job.name, ())
+                and self.constraints.is_ready(job)
+                and self.constraints.max_starts(job, 1) > 0
+                and slot.site in self.constraints.allowed_zones(job, self.snapshot.zones)
+                and fits(job.spec.resources, slot.free)
+                and self.constraints.allows_slot(job, slot)
             ):
-                occupy(slot, job.spec)
-                self._place(job, index, slot)
+                occupy_slot(slot, job.spec)
+                self._start_attempt(job, index, slot)
                 placed += 1
         return placed
 
-    # -- what goes where --------------------------------------------------------------
+    # -- placement --------------------------------------------------------------------
 
-    def _place_all(
+    def _place_within_budget(
         self,
         jobs: list[Job],
         budget: Vector | None,
         reserve: bool,
         local: bool = False,
     ) -> tuple[int, Vector | None]:
-        """Place waiting tasks in order within a budget; how many, and what is left of it.
+        """Place waiting tasks in order within a budget; return their number and the rest of it.
 
-        `local`: only where the image is.
+        `reserve`: reserve machines, or preempt, for tasks that found no machine. `local`: jobs
+        that prefer it are placed only on machines that hold their image.
         """
         placed = 0
         for job in jobs:
             spec = job.spec
-            if budget is not None and not fits(spec.room, budget):
+            if budget is not None and not fits(spec.resources, budget):
                 continue
-            if not local and self.patient and self.demands.stays(job):
+            if (
+                not local
+                and self.waits_for_images
+                and self.demand_calculator.waits_for_local_image(job)
+            ):
                 continue
             if spec.shape == "gang":
-                # All at once, wherever there is room.
+                # All tasks at once, wherever there is room.
                 count = 0 if local else self._place_gang(job, budget, reserve)
                 if budget is not None and count:
-                    budget = minus(budget, tuple(a * count for a in spec.room))
+                    budget = minus(budget, tuple(a * count for a in spec.resources))
             else:
-                near = local and self.queues.homely(job)
-                count, budget = self._place_tasks(job, budget, reserve, near)
+                prefer_local = local and self.queues.prefers_local_image(job)
+                count, budget = self._place_tasks(job, budget, reserve, prefer_local)
             placed += count
         return placed, budget
 
     def _place_tasks(
-        self, job: Job, budget: Vector | None, reserve: bool, near: bool
+        self, job: Job, budget: Vector | None, reserve: bool, prefer_local: bool
     ) -> tuple[int, Vector | None]:
-        """Place a job's tasks one by one until something is short; as `_place_all`."""
+        """Place a job's tasks one by one until a resource is short, as `_place_within_budget`."""
         spec, placed = job.spec, 0
-        picker: Picker | None = None
-        skip = self.floor.strange.get(job.name, set())
+        picker: SlotPicker | None = None
+        skip = self.snapshot.unknown_tasks.get(job.name, set())
 
         def opens(slot: Slot) -> bool:
-            return self.gates.opens(job, slot)
+            return self.constraints.allows_slot(job, slot)
 
         for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
-            index = job.waiting.first(skip)
+            index = job.waiting.lowest(skip)
             if index is None:
-                break  # all placed, or present somewhere without our doing: wait for that
-            if budget is not None and not fits(spec.room, budget):
+                break  # all placed, or machines report them already: wait until that is resolved
+            if budget is not None and not fits(spec.resources, budget):
                 break
-            if self.gates.refused(job, 1, self.making):
+            if self.constraints.refuses_starts(job, 1, self.preemptor):
                 break
             if picker is None:
-                picker = self._picker(job, near)
-            slot = picker.take(opens, self.gates.sites(job, self.floor.zones))
+                picker = self._picker(job, prefer_local)
+            slot = picker.take_best(opens, self.constraints.allowed_zones(job, self.snapshot.zones))
             if slot is None:
                 if reserve:
-                    self.making.reserve(job)
+                    self.preemptor.reserve_or_preempt(job)
                 break
-            self._place(job, index, slot)
+            self._start_attempt(job, index, slot)
             placed += 1
             if budget is not None:
-                budget = minus(budget, spec.room)
+                budget = minus(budget, spec.resources)
         return placed, budget
 
-    def _picker(self, job: Job, near: bool) -> Picker:
-        """The machines for a job's tasks: the same ranking for all jobs that are alike."""
-        spec, shunned = job.spec, self._shunned(job)
+    def _picker(self, job: Job, prefer_local: bool) -> SlotPicker:
+        """Return the ranked machines for a job's tasks, shared by jobs with equal requirements."""
+        spec, shunned = job.spec, self._machines_to_avoid(job)
         if shunned or spec.oneZone or spec.spread:
-            return Picker(spec, self.floor.slots, shunned, near)
-        key = (spec.suits, spec.bundle, spec.pullGb, near)
+            return SlotPicker(spec, self.snapshot.slots, shunned, prefer_local)
+        key = (spec.machine_constraints, spec.bundle, spec.pullGb, prefer_local)
         if key not in self._pickers:
-            self._pickers[key] = Picker(spec, self.floor.slots, (), near)
+            self._pickers[key] = SlotPicker(spec, self.snapshot.slots, (), prefer_local)
         return self._pickers[key]
 
-    def _shunned(self, job: Job) -> Iterable[str]:
-        """Machines that it failed on a moment ago: they are taken last, not never.
+    def _machines_to_avoid(self, job: Job) -> Iterable[str]:
+        """Return machines on which a job failed recently: they are used last, but not excluded.
 
-        Where no other one fits, none is rented beside a machine that has room: it would wait
-        there until whatever else runs on that one has ended.
+        If no other machine fits, none is rented while one of these has room, so that an excluded
+        job would wait until everything else that runs on that machine has ended.
         """
-        if not 0 < len(job.failed_on) <= constants.FAULTY_MACHINES:
+        if not 0 < len(job.failures_by_machine) <= constants.FAULTY_MACHINES:
             return ()
-        known = filter(None, map(self.fleet.machines.get, job.failed_on))
+        known = filter(None, map(self.fleet.machines.get, job.failures_by_machine))
         return [m.name for m in known if self.now < m.failed_at + constants.SHUN_S]
 
     def _place_gang(self, job: Job, budget: Vector | None, reserve: bool) -> int:
-        """Place all that is missing of a gang, or nothing (step 7: its grant covers all of it)."""
+        """Place all tasks of a gang or none (step 7: its grant covers all of it)."""
         spec, count = job.spec, len(job.waiting)
-        if not job.startable:
+        if not job.startable_count:
             return 0  # placed by an earlier step of this round
         if job.live:
-            # Part of it is over: the rest can't go on, and all start anew together.
+            # Some of its tasks ended: the rest cannot continue, and all start again together.
             for attempt in job.live.values():
-                attempt.kill_at = attempt.kill_at or self.now
+                attempt.kill_requested_at = attempt.kill_requested_at or self.now
             return 0
-        need: Vector = tuple(a * count for a in spec.room)
-        if self.floor.strange.get(job.name):
+        need: Vector = tuple(a * count for a in spec.resources)
+        if self.snapshot.unknown_tasks.get(job.name):
             return 0
         if budget is not None and not fits(need, budget):
             return 0
-        if self.gates.refused(job, count, self.making):
+        if self.constraints.refuses_starts(job, count, self.preemptor):
             return 0
-        sites = self.gates.sites(job, self.floor.zones)
-        found = choose_all(
+        sites = self.constraints.allowed_zones(job, self.snapshot.zones)
+        found = choose_gang_slots(
             spec,
             count,
-            [slot for slot in self.floor.slots if slot.site in sites],
-            self.zones.held(job),
-            self._shunned(job),
-            lambda slot: self.gates.opens(job, slot),
+            [slot for slot in self.snapshot.slots if slot.site in sites],
+            self.zone_constraints.tasks_by_zone(job),
+            self._machines_to_avoid(job),
+            lambda slot: self.constraints.allows_slot(job, slot),
         )
         if found is None:
             if reserve:
-                self.making.reserve(job)
+                self.preemptor.reserve_or_preempt(job)
             return 0
-        number = job.next_try()
+        number = job.next_try_number()
         for index, slot in zip(list(job.waiting), found, strict=True):
-            occupy(slot, spec)
-            self._place(job, index, slot, number)
+            occupy_slot(slot, spec)
+            self._start_attempt(job, index, slot, number)
         return count
 
-    def _place(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
-        """Put a task on a slot whose room it has taken."""
+    def _start_attempt(self, job: Job, index: int, slot: Slot, number: int | None = None) -> None:
+        """Create an attempt for a task on a slot; the caller has occupied the slot for it."""
         attempt = job.place(index, slot.name, number)
-        attempt.decided = self.now
-        attempt.guarded = self.guarding
+        attempt.placed_at = self.now
+        attempt.is_starvation_guarded = self.placing_starved
         if log.isEnabledFor(logging.DEBUG):
             what = about(self.fleet.token, job.name, slot.name, attempt.label)
-            log.debug("%s to %s", attempt.label, slot.name, extra=what)
-        self.fleet.hold(attempt)
+            log.debug("attempt placed: %s on %s", attempt.label, slot.name, extra=what)
+        self.fleet.attach_attempt(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
-        self.held[job.group] = plus(self.held[job.group], job.spec.room)
-        self.gates.took(job, slot.site)
+        self.queue_usage[job.round_queue] = plus(
+            self.queue_usage[job.round_queue], job.spec.resources
+        )
+        self.constraints.on_placed(job, slot.site)
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -22,12 +22,12 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.worker import Task
 from chalkgrade.region.world import World, close, tell
-from chalkgrade.serving import intake, node
-from chalkgrade.serving.intake import Intake
-from chalkgrade.sharing import gates
+from chalkgrade.serving import job_api, node
+from chalkgrade.serving.job_api import JobApi
+from chalkgrade.sharing import constraints
 from chalkgrade.state.leadership import LEADER_KEY
-from test_gap import _long
-from test_membership import _until
+from test_gap import _long_job
+from test_membership import _wait_until
 
 Patch = pytest.MonkeyPatch
 FLEET = days.read(Path(__file__).parent / "days" / "fleet.toml")
@@ -40,7 +40,7 @@
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     world = World(loop, 1)
-    spec = _long(1, 2)
+    spec = _long_job(1, 2)
     world.jobs["run-000001"] = {"spec": spec, "aborted": None, "accepted": True, "over": None}
     world.jobs["run-000001"] |= {"at": world.now, "replicas": set(), "asked": True}
     try:
@@ -123,14 +123,14 @@
 
 def _answers_from_what_it_heard_once(patch: Patch) -> None:
     """A node that repeats the leader's last counts to whoever asks."""
-    plain = Intake.query
+    plain = JobApi.query
 
-    async def query(self: Intake, name: str) -> tuple[int, dict[str, Any]]:
-        if self.term is None and name in self.counts and name not in self.finals:
-            return 200, self.counts[name]
+    async def query(self: JobApi, name: str) -> tuple[int, dict[str, Any]]:
+        if self.term is None and name in self.last_leader_answers and name not in self.finals:
+            return 200, self.last_leader_answers[name]
         return await plain(self, name)
 
-    patch.setattr(Intake, "query", query)
+    patch.setattr(JobApi, "query", query)
 
 
 def _calls_off_what_is_complete(patch: Patch) -> None:
@@ -139,7 +139,7 @@
 
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
-        if job is not None and job.complete:
+        if job is not None and job.is_complete:
             return "withdrawn"
         return await plain(self, name)
 
@@ -176,18 +176,18 @@
 
 
 def _takes_what_fits_nothing(patch: Patch) -> None:
-    patch.setattr(Intake, "refusal", lambda self, spec: None)
+    patch.setattr(JobApi, "rejection_reason", lambda self, spec: None)
 
 
 def _fills_in_what_is_missing(patch: Patch) -> None:
     """A field that is not there is taken for 0."""
-    plain = intake.parse_submission
+    plain = job_api.parse_submission
 
     def parse(body: bytes, value_b: int) -> Any:
         found = {"flushS": 0.0, "savepointS": 0.0} | msgspec.json.decode(body)
         return plain(msgspec.json.encode(found), value_b)
 
-    patch.setattr(intake, "parse_submission", parse)
+    patch.setattr(job_api, "parse_submission", parse)
     patch.setattr(node, "parse_submission", parse)  # the leader's, of what others pass on
 
 
@@ -208,12 +208,12 @@
 
 
 def _starves(patch: Patch, jobclass: str) -> None:
-    plain = gates.Maxima.most
+    plain = constraints.TeamLimits.max_starts
 
-    def most(self: gates.Maxima, job: Job, count: int) -> int:
+    def most(self: constraints.TeamLimits, job: Job, count: int) -> int:
         return 0 if job.spec.jobclass == jobclass else plain(self, job, count)
 
-    patch.setattr(gates.Maxima, "most", most)
+    patch.setattr(constraints.TeamLimits, "max_starts", most)
 
 
 def test_a_class_that_waits_beside_room_is_found_and_it_is_said_why(monkeypatch: Patch) -> None:
@@ -276,7 +276,7 @@
 def test_idle_room_is_judged_by_what_a_job_may_have(
     pools: list[tuple[str, str, bool]], changes: Change, breaks: bool, history: World
 ) -> None:
-    other = history.jobs["run-000001"] | {"spec": _long(2, 1), "accepted": False}
+    other = history.jobs["run-000001"] | {"spec": _long_job(2, 1), "accepted": False}
     history.jobs["run-000002"] = other
     history.jobs["run-000001"]["asked"] = False
     history.jobs["run-000001"]["spec"] |= changes
@@ -302,7 +302,7 @@
 def _full(world: World) -> None:
     """Others hold all but a moment's room now and then."""
     worker = world.workers["host-000001"]
-    task = Task("run-000003/0", 1, _long(3, 1) | {"vcpus": 4.0})
+    task = Task("run-000003/0", 1, _long_job(3, 1) | {"vcpus": 4.0})
     worker.tasks["run-000003/0", 1] = task
     world.loop.call_soon(lambda: None)
     plain = world.idle.look
@@ -341,7 +341,7 @@
     world.jobs.clear()
     for number in range(count):
         tasks = 9 if number >= count - large else 1
-        spec = _long(number, tasks) | {"expectedS": 1.0}
+        spec = _long_job(number, tasks) | {"expectedS": 1.0}
         job: dict[str, Any] = {"spec": spec, "aborted": None, "accepted": True, "at": world.now}
         job |= {"over": "done", "first": world.now, "replicas": set()}
         world.jobs[spec["nameId"]] = job
@@ -402,8 +402,8 @@
             key
             for key in machine.tasks
             if key not in machine.attempts
-            or (machine.attempts[key].kill_at is not None)
-            and now - (machine.attempts[key].kill_at or 0.0) > 5.0
+            or (machine.attempts[key].kill_requested_at is not None)
+            and now - (machine.attempts[key].kill_requested_at or 0.0) > 5.0
         }
         return [
             order
@@ -436,9 +436,9 @@
 
 def test_mute_machines_reach_nobody_and_hear_direct_commands() -> None:
     async def story(world: World) -> None:
-        spec = _long(1, 4)
+        spec = _long_job(1, 4)
         world.spawn(world.user(spec, None))
-        await _until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
+        await _wait_until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
         worker = world.present()[0][0]
         world.mute({worker.name}, world.LEASE_S - 2.0)
         lease = worker.lease_from
@@ -466,8 +466,8 @@
 
 def test_copies_that_were_kept_come_in_the_first_second_of_the_next_leader() -> None:
     async def story(world: World) -> None:
-        world.spawn(world.user(_long(1, 8), None))
-        await _until(world, 120.0, lambda: len(world.of_job("run-000001")) == 8)
+        world.spawn(world.user(_long_job(1, 8), None))
+        await _wait_until(world, 120.0, lambda: len(world.of_job("run-000001")) == 8)
         came: list[float] = []
         plain = world.give
 
@@ -481,7 +481,7 @@
         assert not came and sum(len(bodies) for bodies in world.kept.values()) >= 4
         world.store.written[LEADER_KEY] = []
         world.spawn(world.restart(world.leaders()[0], 2.0))
-        await _until(world, 60.0, lambda: bool(world.leaders()))
+        await _wait_until(world, 60.0, lambda: bool(world.leaders()))
         await asyncio.sleep(3.0)
         begun = world.store.written[LEADER_KEY][0]
         assert came and all(begun <= at <= begun + 1.1 for at in came)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -13,9 +13,9 @@
 from chalkgrade.record.jobs import Job
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
-from chalkgrade.serving import intake
-from chalkgrade.sharing import gates
-from chalkgrade.state import ledger
+from chalkgrade.serving import job_api
+from chalkgrade.sharing import constraints
+from chalkgrade.state import client
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
 
 # Each seed draws its own jobs, machines, troubles and message fates.
@@ -88,8 +88,8 @@
         plain = world.trouble
         world.trouble = lambda kind, seconds: plain(4, seconds)  # type: ignore[method-assign]
 
-    monkeypatch.setattr(fleet.Fleet, "expired", guess)
-    monkeypatch.setattr(fleet.Fleet, "lapsed", guess)
+    monkeypatch.setattr(fleet.Fleet, "is_lease_over", guess)
+    monkeypatch.setattr(fleet.Fleet, "is_own_lease_over", guess)
     # What is guessed away counts against no maximum either: with them the quota broke first on
     # nine of these days, and on one or more of them it depended on what had been rented.
     _breaks("ran_twice", range(20, 32), jobs=30, prepare=prepare, kind=WithoutMaxima)
@@ -97,17 +97,17 @@
 
 def test_acting_without_lease_and_fence_breaks_rules(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that trusts itself for ever and commits without its token's condition."""
-    plain = ledger.Ledger.commit
+    plain = client.LedgerClient.commit
 
     async def unfenced(self: Any, conditions: Any, apply: Any, timeout: float = 2.0) -> int:
         if any(op.get("write") == LEADER_KEY for op in apply):
             return await plain(self, conditions, apply, timeout)
         return await plain(self, {}, apply, timeout)
 
-    monkeypatch.setattr(ledger.Ledger, "commit", unfenced)
-    monkeypatch.setattr(Leadership, "acting", lambda self: self.token > 0)
-    monkeypatch.setattr(Leadership, "sheltering", lambda self: self.token > 0)
-    monkeypatch.setattr(Leadership, "depose", lambda self: None)
+    monkeypatch.setattr(client.LedgerClient, "commit", unfenced)
+    monkeypatch.setattr(Leadership, "may_act", lambda self: self.token > 0)
+    monkeypatch.setattr(Leadership, "may_renew_workers", lambda self: self.token > 0)
+    monkeypatch.setattr(Leadership, "step_down", lambda self: None)
     broken = 0
     for seed in range(16):
         try:
@@ -118,18 +118,20 @@
 
 
 def test_ignoring_the_maximum_breaks_the_quota(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Maxima, "most", lambda self, job, count: count)
+    monkeypatch.setattr(constraints.TeamLimits, "max_starts", lambda self, job, count: count)
     _breaks("quota", troubled=False, jobs=30)
 
 
 def test_ignoring_constraints_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
-    for where in ("machines.placement", "sharing.floor"):
+    for where in ("machines.placement", "sharing.cluster_snapshot"):
         monkeypatch.setattr(f"chalkgrade.{where}.allowed", lambda *_: True)
     _breaks("wrong_place", troubled=False)
 
 
 def test_ignoring_zones_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gates.Zones, "sites", lambda self, job, sites: sites)
+    monkeypatch.setattr(
+        constraints.ZoneConstraints, "allowed_zones", lambda self, job, sites: sites
+    )
     _breaks("wrong_place", troubled=False, jobs=25)
 
 
@@ -144,17 +146,17 @@
 
 
 def test_ending_a_job_early_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Job, "complete", property(lambda self: self.done * 2 > self.spec.tasks))
+    monkeypatch.setattr(Job, "is_complete", property(lambda self: self.done * 2 > self.spec.tasks))
     _breaks("not_done", troubled=False)
 
 
 def test_answering_404_from_memory_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def hasty(self: intake.Intake, name: str) -> intake.Answer:
-        if self.term is not None and self.term.live():
-            return await self.lead("status", name)
-        return intake.UNKNOWN
+    async def hasty(self: job_api.JobApi, name: str) -> job_api.Answer:
+        if self.term is not None and self.term.is_serving():
+            return await self.answer_as_leader("status", name)
+        return job_api.UNKNOWN_JOB
 
-    monkeypatch.setattr(intake.Intake, "query", hasty)
+    monkeypatch.setattr(job_api.JobApi, "query", hasty)
     _breaks("forgotten")
 
 
@@ -235,7 +237,7 @@
         assert holders
         machines = term.fleet.machines.items()
         known = {name for name, machine in machines if machine.images or machine.attempts}
-        assert holders <= known | set(term.book.images)
+        assert holders <= known | set(term.registry.image_hints)
 
     tell(story, 2)
 
