--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -1,6 +1,7 @@
-"""What may hold a job back beside room that fits it, and for how long: never for 90 s.
+"""No rule may hold a job back for 90 s while machines have room for it.
 
-The region's checker of idle room judges; each story ends long after that time.
+The `idle_room` rule of the simulated region checks this; each scenario lasts far longer. With
+`bug`, the guard under test is removed, and the rule must find the failure.
 """
 
 import asyncio
@@ -9,19 +10,20 @@
 import pytest
 
 from chalkgrade import constants
+from chalkgrade.extensions.constraints import Preemption
 from chalkgrade.record.jobs import Job
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.seams.gates import Stops
-from chalkgrade.sharing.gates import Maxima
-from test_gap import _long
-from test_membership import _leader, _until
+from chalkgrade.sharing.constraints import TeamLimits
+from test_gap import _long_job
+from test_membership import _acting_leader, _wait_until
 
 Patch = pytest.MonkeyPatch
 Story = Callable[[World], Awaitable[None]]
 
 
-async def _goes_on(world: World, seconds: float) -> None:
+async def _run_for(world: World, seconds: float) -> None:
+    """Let the simulation run on for the given time, and raise the failure of any rule."""
     end = world.now + seconds
     while world.now < end:
         await asyncio.sleep(0.5)
@@ -41,60 +43,67 @@
 def test_a_sound_job_that_sick_machines_failed_is_not_probed_for_a_whole_run(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """All its tasks fail at once on several machines; then one probe ran for 200 s alone."""
+    """Guards against a sound job being limited to one probe for the probe's whole run.
+
+    All tasks of the job fail at once on several faulty machines. Its run time is 200 s.
+    """
     if bug:
         monkeypatch.setattr(constants, "PROVEN_RUN_S", 1e9)
 
     async def story(world: World) -> None:
-        world.spawn(world.user(_long(1, 12) | {"expectedS": 200.0}, None))
-        await _until(world, 60.0, lambda: len(world.present()) == 12)
+        world.spawn(world.user(_long_job(1, 12) | {"expectedS": 200.0}, None))
+        await _wait_until(world, 60.0, lambda: len(world.present()) == 12)
         await asyncio.sleep(1.0)
         for worker, task in list(world.present()):
             worker._exit(task, "error")
             worker.changed.set()
         await asyncio.sleep(10.0)
-        node = _leader(world)
+        node = _acting_leader(world)
         assert node is not None and node.term is not None
         job = node.term.jobs["run-000001"]
-        assert job.faulty and len(job.failed_on) > 2 and len(job.live) <= 1
-        await _goes_on(world, 200.0)
+        assert job.is_faulty and len(job.failures_by_machine) > 2 and len(job.live) <= 1
+        await _run_for(world, 200.0)
         assert world.idle.most < constants.SHUN_S + 15.0
         assert len(world.present()) > 8
 
     _check(story, bug, 1)
 
 
-def _kept_for_ever(patch: Patch) -> None:
-    """What was done before: kept, whenever that may be."""
-    plain = Maxima.make_way
+def _reserve_unconditionally(patch: Patch) -> None:
+    """Reserve what a maximum leaves for urgent work, even if too little becomes free soon."""
+    original = TeamLimits.preempt_for
 
-    def make_way(self: Maxima, job: Job, stops: Stops) -> None:
-        plain(self, job, stops)
-        owner, rank = job.spec.owner, job.spec.rank
-        self._keeps[owner] = max(rank, self._keeps.get(owner, rank))
+    def make_way(self: TeamLimits, job: Job, stops: Preemption) -> None:
+        original(self, job, stops)
+        owner, rank = job.spec.owner, job.spec.urgency_rank
+        self._reserved_urgency[owner] = max(rank, self._reserved_urgency.get(owner, rank))
 
-    patch.setattr(Maxima, "make_way", make_way)
+    patch.setattr(TeamLimits, "preempt_for", make_way)
 
 
 @pytest.mark.parametrize("bug", [False, True])
 def test_what_a_maximum_leaves_beside_a_service_is_for_whom_it_fits(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """A service takes 17 of a team's 20 CPUs; an urgent task that needs 4 waits for it to end."""
+    """Guards against reserving what a maximum leaves for a task that it can't fit.
+
+    A service holds 17 of a team's 20 CPUs. An urgent task that needs 4 waits until the service
+    ends; small tasks must use the remaining 3 meanwhile.
+    """
     if bug:
-        _kept_for_ever(monkeypatch)
+        _reserve_unconditionally(monkeypatch)
 
     async def story(world: World) -> None:
         red = {"owner": "red", "urgency": "high"}
-        service = _long(1, 17) | red | {"shape": "service", "expectedS": 0.0}
+        service = _long_job(1, 17) | red | {"shape": "service", "expectedS": 0.0}
         world.spawn(world.user(service, 400.0))
-        await _until(world, 150.0, lambda: len(world.present()) >= 16)
-        world.spawn(world.user(_long(2, 2) | red | {"vcpus": 4.0, "expectedS": 30.0}, None))
+        await _wait_until(world, 150.0, lambda: len(world.present()) >= 16)
+        world.spawn(world.user(_long_job(2, 2) | red | {"vcpus": 4.0, "expectedS": 30.0}, None))
         await asyncio.sleep(2.0)
-        small = _long(3, 3) | red | {"urgency": "standard", "expectedS": 20.0}
+        small = _long_job(3, 3) | red | {"urgency": "standard", "expectedS": 20.0}
         world.spawn(world.user(small, None))
-        await _goes_on(world, 160.0)
-        assert not world.of_job("run-000002")  # it came about: what is urgent does wait
+        await _run_for(world, 160.0)
+        assert not world.of_job("run-000002")  # the urgent job does wait in this scenario
         assert world.jobs[small["nameId"]]["over"] == "done"
 
     _check(story, bug, 1)
@@ -104,20 +113,23 @@
 def test_small_tasks_do_not_take_what_frees_up_for_urgent_wide_ones(
     bug: bool, monkeypatch: Patch
 ) -> None:
-    """The rule that keeps it holds on where enough ends before long."""
+    """What becomes free is reserved for urgent wide tasks if enough becomes free soon.
+
+    Otherwise the team's small tasks take each CPU, and four are never free at once.
+    """
     if bug:
         monkeypatch.setattr(constants, "KEPT_S", -1.0)
 
     async def story(world: World) -> None:
         red = {"owner": "red", "vcpus": 1.0}
         for number in range(1, 9):
-            wave = _long(number, 10) | red | {"urgency": "standard", "expectedS": 12.0}
+            wave = _long_job(number, 10) | red | {"urgency": "standard", "expectedS": 12.0}
             world.spawn(world.user(wave, None))
-        await _until(world, 150.0, lambda: len(world.present()) >= 19)
-        urgent = _long(20, 2) | red | {"vcpus": 4.0, "urgency": "high", "expectedS": 10.0}
+        await _wait_until(world, 150.0, lambda: len(world.present()) >= 19)
+        urgent = _long_job(20, 2) | red | {"vcpus": 4.0, "urgency": "high", "expectedS": 10.0}
         world.spawn(world.user(urgent, None))
         begun = world.now
-        await _until(world, 120.0, lambda: bool(world.of_job(urgent["nameId"])))
+        await _wait_until(world, 120.0, lambda: bool(world.of_job(urgent["nameId"])))
         if world.failure is not None:
             raise world.failure
         took.append(world.now - begun)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,15 +13,15 @@
 from chalkgrade.experiments import meetings, shrinking
 from chalkgrade.experiments.meetings import Maker
 from chalkgrade.experiments.met import Meet
-from chalkgrade.leading.reports import Reports
+from chalkgrade.leading.reports import ReportHandler
 from chalkgrade.leading.term import Term
 from chalkgrade.machines.fleet import Fleet, Machine
 from chalkgrade.region import day as days
 from chalkgrade.region.day import Fault
 from chalkgrade.region.fleet import play_day
 from chalkgrade.region.world import World, tell
-from test_gap import _long
-from test_membership import _until
+from test_gap import _long_job
+from test_membership import _wait_until
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "first-day.toml"
 CLASS = '[[classes]]\nname = "x"\nteams = ["desk"]\n'
@@ -98,7 +98,7 @@
 
 def _answers_while_it_shelters(patch: Patch) -> None:
     """A leader that only keeps its workers tells users what its book says."""
-    patch.setattr(Term, "live", lambda self: self.ready and self.leadership.token > 0)
+    patch.setattr(Term, "is_serving", lambda self: self.ready and self.leadership.token > 0)
 
 
 def _tells_before_it_is_durable(patch: Patch) -> None:
@@ -106,8 +106,8 @@
 
     async def abort(self: Term, name: str) -> str | None:
         job = self.jobs.get(name)
-        if job is not None and not job.complete:
-            self.book.abort(job)
+        if job is not None and not job.is_complete:
+            self.registry.abort(job)
             return "withdrawn"
         return await plain(self, name)
 
@@ -121,21 +121,21 @@
         last = machine.reported_at if machine.reported_at is not None else machine.known_at
         return self._clock.now() - last > self.lease_s / 3
 
-    patch.setattr(Fleet, "lapsed", lapsed)
-    patch.setattr(Fleet, "expired", lapsed)
+    patch.setattr(Fleet, "is_own_lease_over", lapsed)
+    patch.setattr(Fleet, "is_lease_over", lapsed)
 
 
 def _live_is_done(patch: Patch) -> None:
     """A new leader takes attempts whose machine does not report them for completed."""
-    plain = Reports._reconcile
+    plain = ReportHandler._reconcile
 
-    def reconcile(self: Reports, machine: Machine) -> None:
+    def reconcile(self: ReportHandler, machine: Machine) -> None:
         for key, attempt in list(machine.attempts.items()):
-            if key not in machine.tasks and not attempt.decided:
-                self.ended(machine, attempt, "done")
+            if key not in machine.tasks and not attempt.placed_at:
+                self.on_attempt_ended(machine, attempt, "done")
         plain(self, machine)
 
-    patch.setattr(Reports, "_reconcile", reconcile)
+    patch.setattr(ReportHandler, "_reconcile", reconcile)
 
 
 BUGS = [
@@ -196,9 +196,9 @@
     """What it was answered while it hung is dropped, as the protocol says of late answers."""
 
     async def story(world: World) -> None:
-        spec = _long(1, 4) | {"expectedS": 60.0}
+        spec = _long_job(1, 4) | {"expectedS": 60.0}
         world.spawn(world.user(spec, None))
-        await _until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
+        await _wait_until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
         name = world.present()[0][0].name
         worker = world.workers[name]
         seq, tenure = worker.seq, worker.tenure
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""Who is there and who leads: views, the key's handover, and fleets in which several fail."""
+"""Membership views, handover of the leader key, and simultaneous failures of controllers.
+
+A view must not suspect a controller that answers, and must not call one failed whose lease lives.
+At no instant may two controllers act as leader, whatever fails during a handover.
+"""
 
 import asyncio
 import random
@@ -19,22 +23,22 @@
 
 from chalkgrade import constants
 from chalkgrade.experiments import failover
-from chalkgrade.membership.fitness import CLOUD, WORKERS, Fitness
+from chalkgrade.membership.leader_health import CLOUD, WORKERS, LeaderHealth
+from chalkgrade.membership.messages import MemberStatus
 from chalkgrade.membership.views import ALIVE, FAILED, SUSPECT, Views
-from chalkgrade.membership.words import Word
 from chalkgrade.region.fleet import play_day
 from chalkgrade.region.loop import HandClock
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.node import Node
 from chalkgrade.state import leadership
 from chalkgrade.state.leadership import LEADER_KEY, Leadership
-from chalkgrade.state.shelter import Shelter
+from chalkgrade.state.lease_expiry import LeaseExpiry
 
 QUICK = settings(
     max_examples=60,
     stateful_step_count=50,
     deadline=None,
-    derandomize=True,  # the same verdict each time
+    derandomize=True,  # the same examples in each run
     suppress_health_check=list(HealthCheck),
 )
 NAMES = ["n-0", "n-1", "n-2"]
@@ -42,21 +46,24 @@
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """Three controllers whose words are lost, held, repeated; they crash, stand still, return."""
+    """Three controllers with lost, delayed and repeated messages, which crash, stop and restart."""
 
     def __init__(self) -> None:
         super().__init__()
         self.clock = HandClock()
         self.stamp = 0
         self.up = dict.fromkeys(NAMES, True)
-        self.still = dict.fromkeys(NAMES, False)
+        self.suspended = dict.fromkeys(NAMES, False)
         self.leased = dict.fromkeys(NAMES, True)
         self.views: dict[str, Views] = {}
-        self.spoke: dict[tuple[str, str], float] = {}  # (to, from) -> last word in time
-        self.asked: dict[tuple[str, str], float] = {}  # last unanswered question since a sign
-        self.latest: dict[tuple[str, str], str] = {}  # process that last answered
-        self.last_words: dict[str, Word] = {}
-        self.held: list[tuple[str, Word, float]] = []  # to, what, when it was said
+        # Time of the last current status, by (receiver, sender).
+        self.last_status_at: dict[tuple[str, str], float] = {}
+        # Time of the last unanswered request since the last evidence of life.
+        self.unanswered_since: dict[tuple[str, str], float] = {}
+        self.last_process: dict[tuple[str, str], str] = {}  # process that answered last
+        self.last_statuses: dict[str, MemberStatus] = {}
+        # Receiver, status and time of sending of each delayed message.
+        self.delayed: list[tuple[str, MemberStatus, float]] = []
         for name in NAMES:
             self._start(name)
 
@@ -64,148 +71,150 @@
         self.stamp += 1
         others = [other for other in NAMES if other != name]
         made = self.views[name] = Views(name, others, self.clock)
-        made.process, made.stamp = f"p{self.stamp}", self.stamp
+        made.own_process, made.stamp = f"p{self.stamp}", self.stamp
 
-    def _word(self, name: str) -> Word:
+    def status_of(self, name: str) -> MemberStatus:
         own = self.views[name]
-        word = Word(name, own.process, own.incarnation, own.next_seq(), self.clock.wall())
-        word.suspects = own.suspects()
-        return word
+        status = MemberStatus(
+            name, own.own_process, own.incarnation, own.next_seq(), self.clock.wall()
+        )
+        status.suspects = own.suspected_members()
+        return status
 
-    def _runs(self, name: str) -> bool:
-        return self.up[name] and not self.still[name]
+    def is_running(self, name: str) -> bool:
+        return self.up[name] and not self.suspended[name]
 
     @rule(seconds=st.floats(0.05, 0.5))
     def time_passes(self, seconds: float) -> None:
         self.clock.at += seconds
         for name in NAMES:
-            if self._runs(name):
-                self.views[name].ran(0.0)
-                self.views[name].judge()
+            if self.is_running(name):
+                self.views[name].record_loop_delay(0.0)
+                self.views[name].update_states()
 
     @rule(one=MEMBER, other=MEMBER, fate=st.sampled_from(["fine", "fine", "lost", "held"]))
     def ask(self, one: str, other: str, fate: str) -> None:
-        if one == other or not self._runs(one):
+        if one == other or not self.is_running(one):
             return
-        if fate == "fine" and self._runs(other):
-            self.views[other].take(self._word(one), answer=False)
-            self.views[one].take(self._word(other), answer=True)
+        if fate == "fine" and self.is_running(other):
+            self.views[other].accept_status(self.status_of(one), answer=False)
+            self.views[one].accept_status(self.status_of(other), answer=True)
             for to, name in ((one, other), (other, one)):
-                self.spoke[to, name] = self.clock.at
-                self.asked.pop((to, name), None)
-                self.latest[to, name] = self.views[name].process
+                self.last_status_at[to, name] = self.clock.at
+                self.unanswered_since.pop((to, name), None)
+                self.last_process[to, name] = self.views[name].own_process
         else:
             if fate == "held":
-                self.held.append((other, self._word(one), self.clock.at))
-            self.views[one].silent(other)
-            self.asked[one, other] = self.clock.at
+                self.delayed.append((other, self.status_of(one), self.clock.at))
+            self.views[one].record_no_answer(other)
+            self.unanswered_since[one, other] = self.clock.at
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.delayed)
     @rule(again=st.booleans())
-    def a_held_word_comes(self, again: bool) -> None:
-        to, word, at = self.held[0] if again else self.held.pop(0)
-        if self._runs(to):
-            taken = self.views[to].take(word, answer=False)
+    def a_delayed_status_arrives(self, again: bool) -> None:
+        to, status, at = self.delayed[0] if again else self.delayed.pop(0)
+        if self.is_running(to):
+            taken = self.views[to].accept_status(status, answer=False)
             if taken and self.clock.at - at <= constants.WORD_OLD_S:
-                self.spoke[to, word.member] = self.clock.at
+                self.last_status_at[to, status.member] = self.clock.at
 
     @rule(one=MEMBER, other=MEMBER, steps=st.integers(1, 6), wakes=st.booleans())
     def a_link_is_cut(self, one: str, other: str, steps: int, wakes: bool) -> None:
-        """Questions go unanswered, and the third is asked as `to_probe` says."""
+        """Requests stay unanswered, and the third controller probes as `members_to_probe` asks."""
         if one == other:
             return
         third = next(name for name in NAMES if name not in (one, other))
         if wakes:
             self.ask(one, other, "fine")
         for _ in range(steps):
-            if not self._runs(one):
+            if not self.is_running(one):
                 return
             self.ask(one, other, "lost")
             self.time_passes(0.35)
-            if other in self.views[one].to_probe() and self._runs(third):
-                reached = self._runs(other) and not wakes
-                self.views[one].vouched(other, None, reached)
+            if other in self.views[one].members_to_probe() and self.is_running(third):
+                reached = self.is_running(other) and not wakes
+                self.views[one].record_indirect_probe(other, None, reached)
                 if reached:
-                    self.spoke[one, other] = self.clock.at
+                    self.last_status_at[one, other] = self.clock.at
         if wakes:
-            self.stand_still(one, 3.0)
+            self.suspend(one, 3.0)
 
     @rule(to=MEMBER, name=MEMBER)
-    def a_word_of_an_earlier_process_comes(self, to: str, name: str) -> None:
-        if to == name or not self._runs(to) or self.still[name]:
+    def a_status_of_an_earlier_process_arrives(self, to: str, name: str) -> None:
+        if to == name or not self.is_running(to) or self.suspended[name]:
             return
         if self.up[name]:
             self.crash_or_return(name)
         self.crash_or_return(name)
         self.ask(to, name, "fine")
-        self.views[to].take(self.last_words[name], answer=False)
+        self.views[to].accept_status(self.last_statuses[name], answer=False)
 
     @rule(name=MEMBER)
     def crash_or_return(self, name: str) -> None:
         self.up[name] = not self.up[name]
         if not self.up[name]:
-            self.last_words[name] = self._word(name)
+            self.last_statuses[name] = self.status_of(name)
         if self.up[name]:
             self._start(name)
             self.leased[name] = True
             for other in NAMES:
-                for of in (self.spoke, self.asked, self.latest):
+                for of in (self.last_status_at, self.unanswered_since, self.last_process):
                     of.pop((name, other), None)  # type: ignore[attr-defined]
 
     @rule(name=MEMBER, seconds=st.floats(0.5, 9.0))
-    def stand_still(self, name: str, seconds: float) -> None:
-        """Its clocks go on; what it heard before is old when it wakes."""
-        if not self._runs(name):
+    def suspend(self, name: str, seconds: float) -> None:
+        """Its clock continues, so that its evidence is outdated when it resumes."""
+        if not self.is_running(name):
             return
-        self.still[name] = True
-        before = {other: self.views[name].state(other) for other in self.views[name].of}
+        self.suspended[name] = True
+        before = {other: self.views[name].state_of(other) for other in self.views[name].by_member}
         steps = int(seconds / 0.4) + 1
         for _ in range(steps):
             self.time_passes(seconds / steps)
-        self.still[name] = False
-        self.views[name].ran(seconds)
-        self.views[name].judge()
-        if seconds > constants.LATE_S:  # it has no fresh evidence yet
+        self.suspended[name] = False
+        self.views[name].record_loop_delay(seconds)
+        self.views[name].update_states()
+        if seconds > constants.LATE_S:  # it has no recent evidence yet
             for other, state in before.items():
-                assert state == SUSPECT or self.views[name].state(other) != SUSPECT, other
+                assert state == SUSPECT or self.views[name].state_of(other) != SUSPECT, other
 
     @rule(name=MEMBER)
     def lease_ends(self, name: str) -> None:
         if not self.up[name]:
             self.leased[name] = False
             for other in NAMES:
-                if other != name and self._runs(other):
-                    self.views[other].lease(name, "ended")
+                if other != name and self.is_running(other):
+                    self.views[other].record_lease(name, "ended")
 
     @invariant()
-    def who_speaks_is_not_suspected(self) -> None:
-        for (to, name), at in self.spoke.items():
-            if self._runs(to) and self.clock.at - at <= constants.SUSPECT_S:
-                assert self.views[to].state(name) == ALIVE, (to, name)
+    def a_controller_that_sends_is_not_suspected(self) -> None:
+        for (to, name), at in self.last_status_at.items():
+            if self.is_running(to) and self.clock.at - at <= constants.SUSPECT_S:
+                assert self.views[to].state_of(name) == ALIVE, (to, name)
 
     @invariant()
-    def nobody_has_failed_whose_lease_lives(self) -> None:
+    def no_controller_with_a_live_lease_has_failed(self) -> None:
         for to in NAMES:
             for name in NAMES:
                 if name != to and self.leased[name]:
-                    view = self.views[to].of[name]
+                    view = self.views[to].by_member[name]
                     assert view.state != FAILED or view.lease == "ended", (to, name)
                     if self.up[name] and view.lease != "ended":
                         assert view.state != FAILED
 
     @invariant()
     def suspicion_has_evidence(self) -> None:
-        """A question, asked since it last spoke, that was not answered."""
+        """There is an unanswered request since the last status of the suspected controller."""
         for to in NAMES:
-            for name, view in self.views[to].of.items():
-                if self._runs(to) and view.state == SUSPECT:
-                    assert (to, name) in self.asked, (to, name)
+            for name, view in self.views[to].by_member.items():
+                if self.is_running(to) and view.state == SUSPECT:
+                    assert (to, name) in self.unanswered_since, (to, name)
 
     @invariant()
     def an_older_process_changes_nothing(self) -> None:
-        for (to, name), process in self.latest.items():
-            if self._runs(to):
-                assert self.views[to].of[name].process == process
+        for (to, name), process in self.last_process.items():
+            if self.is_running(to):
+                assert self.views[to].by_member[name].process == process
 
 
 ViewMachine.TestCase.settings = QUICK
@@ -213,58 +222,60 @@
 
 
 def _run_machine() -> None:
-    """As the test runs it, but what it finds need not be made small."""
+    """Run the state machine as the test does, but without shrinking what it finds."""
     run_state_machine_as_test(
         ViewMachine, settings=settings(QUICK, max_examples=600, phases=[Phase.generate])
     )
 
 
-# -- who leads ----------------------------------------------------------------------
+# -- leader election ----------------------------------------------------------------------
 
 
-class Two(AssertionError):
-    """More than one controller acts, or one whose key is not its own."""
+class MultipleLeaders(AssertionError):
+    """More than one controller acts, or one acts without holding the leader key."""
 
 
-async def _monitor(world: World, gaps: list[float] | None = None) -> None:
-    """Whoever acts holds the key at that instant; so no two act. Collects how long nobody did."""
+async def _check_single_leader(world: World, gaps: list[float] | None = None) -> None:
+    """Check that whoever acts holds the key, so no two act; collects the times without leader."""
     acted = world.now
     while True:
-        if _leader(world) is not None:
+        if _acting_leader(world) is not None:
             if gaps is not None:
                 gaps.append(world.now - acted)
             acted = world.now
         for member, node in world.nodes.items():
             if node is None or world.loop.frozen.get(member, 0.0) > world.now:
                 continue
-            if node.leadership.acting():
+            if node.leadership.may_act():
                 row = world.store.keys.get(LEADER_KEY)
                 if row is None or row[1] != node.leadership.token:
-                    raise Two(f"{member} acts with {node.leadership.token}, the key has {row}")
+                    raise MultipleLeaders(
+                        f"{member} acts with {node.leadership.token}, the key has {row}"
+                    )
         await asyncio.sleep(0.01)
 
 
-def _leader(world: World) -> Node | None:
-    acting = (n for n in world.nodes.values() if n is not None and n.leadership.acting())
+def _acting_leader(world: World) -> Node | None:
+    acting = (n for n in world.nodes.values() if n is not None and n.leadership.may_act())
     return next(acting, None)
 
 
-async def _until(world: World, seconds: float, there: Callable[[], object]) -> float:
-    """How long it took until something is so; s."""
+async def _wait_until(world: World, seconds: float, condition: Callable[[], object]) -> float:
+    """Wait until a condition holds; returns how long that took, s."""
     began = world.now
-    while not there():
+    while not condition():
         assert world.now < began + seconds, "never"
         await asyncio.sleep(0.01)
     return world.now - began
 
 
-async def _handovers(world: World, gaps: list[float], troubled: bool) -> None:
-    """The lead is given away again and again, among losses, cuts and standstills."""
-    world.spawn(_monitor(world, gaps))
+async def _run_handovers(world: World, gaps: list[float], troubled: bool) -> None:
+    """Hand over repeatedly; `troubled`: with lost messages, cut links, suspensions, crashes."""
+    world.spawn(_check_single_leader(world, gaps))
     rng = random.Random(world.rng.random())
     for _ in range(8):
-        await _until(world, 30.0, lambda: _leader(world))
-        node = _leader(world)
+        await _wait_until(world, 30.0, lambda: _acting_leader(world))
+        node = _acting_leader(world)
         assert node is not None
         member = node.settings.member
         if troubled:
@@ -279,35 +290,35 @@
                 world.loop.call_later(at, lambda m=member: world.loop.freeze(m, world.now + 4.0))
             elif kind == "crash":
                 world.loop.call_later(at, lambda m=member: world.spawn(world.restart(m, 2.0)))
-        node.handover.direct_at = world.now  # the others' proof is what counts
+        node.handover.direct_report_at = world.now  # the successors' own reports are what counts
         for other in world.nodes.values():
             if other is not None:
-                other.handover.direct_at = world.now
+                other.handover.direct_report_at = world.now
         if troubled and rng.random() < 0.4:
-            await asyncio.sleep(5.0)  # trouble alone
+            await asyncio.sleep(5.0)  # the fault alone, without a handover
         else:
-            task = world.spawn(_give(world, node))
+            task = world.spawn(_give_lead(world, node))
             await asyncio.wait({task}, timeout=8.0)
-        await _until(world, 30.0, lambda: _leader(world))
+        await _wait_until(world, 30.0, lambda: _acting_leader(world))
         if world.failure is not None:
             raise world.failure
         await asyncio.sleep(rng.uniform(0.2, 2.0))
 
 
-async def _give(world: World, node: Node) -> bool:
+async def _give_lead(world: World, node: Node) -> bool:
     try:
-        return bool(await world.within(node.settings.member, node.handover.give(WORKERS)))
+        return bool(await world.within(node.settings.member, node.handover.transfer_lead(WORKERS)))
     except asyncio.CancelledError:
         return False
 
 
-def test_the_lead_is_handed_over_without_two_and_almost_without_a_gap() -> None:
+def test_a_handover_has_at_most_one_leader_and_almost_no_gap() -> None:
     gaps: list[float] = []
     given = 0
 
     async def story(world: World) -> None:
         nonlocal given
-        await _handovers(world, gaps, False)
+        await _run_handovers(world, gaps, False)
         nodes = (node for node in world.nodes.values() if node is not None)
         given += sum(node.handover.counts.get("given", 0) for node in nodes)
 
@@ -318,15 +329,15 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_two_act_whatever_befalls_a_handover(seed: int) -> None:
-    tell(lambda world: _handovers(world, [], True), seed)
+def test_no_two_controllers_act_whatever_fails_during_a_handover(seed: int) -> None:
+    tell(lambda world: _run_handovers(world, [], True), seed)
 
 
 def test_a_leader_without_cloud_or_workers_is_replaced_within_ten_seconds() -> None:
     for what in (CLOUD, WORKERS):
 
         async def story(world: World, what: str = what) -> None:
-            world.spawn(_monitor(world))
+            world.spawn(_check_single_leader(world))
             spec = world.spec(1, shape="batch", jobclass="small", tasks=30, owner="blue")
             spec |= {
                 "vcpus": 1.0,
@@ -339,71 +350,76 @@
                 "oneZone": False,
             }
             world.spawn(world.user(spec, None))
-            await _until(world, 60.0, lambda: len(world.workers) >= 3)
+            await _wait_until(world, 60.0, lambda: len(world.workers) >= 3)
             await asyncio.sleep(8.0)
-            node = _leader(world)
+            node = _acting_leader(world)
             assert node is not None
             member = node.settings.member
             side = {"cloud"} if what == CLOUD else set(world.workers)
             world.cut({member}, side, 60.0, False)
-            took = await _until(world, 20.0, lambda: _leader(world) not in (None, node))
+            took = await _wait_until(world, 20.0, lambda: _acting_leader(world) not in (None, node))
             assert took <= 10.0 + constants.CLOUD_TIMEOUT_S * (what == CLOUD)
-            await asyncio.sleep(0.5)  # it hears of its commit a moment after the successor
+            await asyncio.sleep(
+                0.5
+            )  # it gets the answer to its commit a moment after the successor
             assert node.handover.counts == {"given": 1}
 
         tell(story, 3, loss=0.0)
 
 
-def test_no_lead_goes_to_and_fro() -> None:
-    """Each controller gives it away at most once a minute, then ever more rarely."""
+def test_leadership_does_not_alternate_between_controllers() -> None:
+    """Each controller hands over at most once a minute, and less and less often."""
     clock = HandClock()
-    fitness = Fitness(clock, 3.0)
-    fitness.leads()
+    health = LeaderHealth(clock, 3.0)
+    health.start_leading()
     given = []
     for _ in range(3600):
         clock.at += 1.0
-        if fitness.why(-1e9, False, clock.at, 5):
+        if health.handover_reason(-1e9, False, clock.at, 5):
             given.append(clock.at)
-            fitness.tried(True)
-            fitness.leads()
+            health.record_handover(True)
+            health.start_leading()
     assert len(given) <= 8
     assert all(b - a >= constants.HANDOVER_REST_S for a, b in zip(given, given[1:], strict=False))
 
 
-def test_of_two_processes_with_one_name_the_older_steps_aside() -> None:
+def test_of_two_processes_with_one_name_the_older_stops_serving() -> None:
     async def story(world: World) -> None:
-        world.spawn(_monitor(world))
-        node = _leader(world)
+        world.spawn(_check_single_leader(world))
+        node = _acting_leader(world)
         assert node is not None
         member = node.settings.member
         old, context, epoch = node, world.contexts[member], world.epochs[member]
-        world.boot(member, "elsewhere")  # beside the old one, which goes on
-        await _until(world, 20.0, lambda: old.presence.aside)
-        assert not old.leadership.acting() and not old.up()
+        world.boot(member, "elsewhere")  # in addition to the old one, which continues
+        await _wait_until(world, 20.0, lambda: old.presence.is_superseded)
+        assert not old.leadership.may_act() and not old.accepts_users()
         assert (await context.run(asyncio.create_task, old.handle("GET", "/up", b"")))[0] == 503
-        await _until(world, 20.0, lambda: _leader(world))
+        await _wait_until(world, 20.0, lambda: _acting_leader(world))
         new = world.nodes[member]
-        assert new is not None and not new.presence.aside and epoch == world.epochs[member]
+        assert new is not None and not new.presence.is_superseded and epoch == world.epochs[member]
         stamp = new.views.stamp
         others = [n for n in world.nodes.values() if n is not None and n is not new]
         await asyncio.sleep(6.0)
-        for other in others:  # words of the older one change nothing
-            assert other.views.of[member].process == new.views.process
-            assert other.views.of[member].incarnation[0] == stamp
+        for other in others:  # statuses of the older one have no effect
+            assert other.views.by_member[member].process == new.views.own_process
+            assert other.views.by_member[member].incarnation[0] == stamp
         old.stop()
 
     tell(story, 4, loss=0.0)
 
 
-# -- messages of any kind --------------------------------------------------------------
+# -- malformed and false messages --------------------------------------------------------------
 
 
 def test_malformed_huge_stale_and_lying_messages_are_dropped_and_counted() -> None:
     async def story(world: World) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         assert leader is not None
-        token, other = leader.leadership.token, next(m for m in NAMES if m in leader.views.of)
-        good: dict[str, Any] = msgspec.to_builtins(world.nodes[other].word())  # type: ignore
+        token, other = (
+            leader.leadership.token,
+            next(m for m in NAMES if m in leader.views.by_member),
+        )
+        good: dict[str, Any] = msgspec.to_builtins(world.nodes[other].own_status())  # type: ignore
         rng = random.Random(1)
         bad: list[Any] = [None, 7, "x", [], {}, {"member": 3}, {"member": ""}]
         bad += [{"member": "x" * 10_000}, good | {"member": "nobody"}, good | {"seq": -1}]
@@ -415,8 +431,8 @@
             for what in ("ping", "reach", "succeed", None, 3):
                 reply = await leader.on_peer({"q": what, "arg": arg})
                 assert reply["status"] in (200, 400, 503)
-        assert leader.leadership.token == token and leader.leadership.acting()
-        dropped = {k: n for k, n in leader.views.counts.items() if k.startswith("dropped")}
+        assert leader.leadership.token == token and leader.leadership.may_act()
+        dropped = {k: n for k, n in leader.views.event_counts.items() if k.startswith("dropped")}
         assert {"dropped malformed", "dropped stranger"} <= set(dropped)
         assert "dropped token from the future" in dropped
         await asyncio.sleep(3.0)
@@ -425,30 +441,30 @@
     tell(story, 5, loss=0.0)
 
 
-def test_a_loop_that_meets_a_bug_begins_anew() -> None:
-    """Else a controller would suspect everybody for ever, and be suspected by nobody."""
+def test_a_loop_that_raises_an_exception_is_restarted() -> None:
+    """Otherwise a controller would suspect all others for ever, without being suspected itself."""
 
     async def story(world: World) -> None:
-        node = _leader(world)
+        node = _acting_leader(world)
         assert node is not None
-        plain, times = node.views.judge, 0
+        plain, times = node.views.update_states, 0
 
-        def judge() -> None:
+        def update_states() -> None:
             nonlocal times
             times += 1
             if times < 3:
                 raise RuntimeError("a bug")
             plain()
 
-        node.views.judge = judge  # type: ignore[method-assign]
+        node.views.update_states = update_states  # type: ignore[method-assign]
         await asyncio.sleep(8.0)
         assert times > 8
-        assert all(view.state == ALIVE for view in node.views.of.values())
+        assert all(view.state == ALIVE for view in node.views.by_member.values())
 
     tell(story, 6, loss=0.0)
 
 
-# -- fleets ------------------------------------------------------------------------------
+# -- whole clusters ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", [1, 2, 5])
@@ -457,114 +473,114 @@
     world, broken = play_day(day, seed)
     out = failover.Times()
     failover.count(world, broken, out)
-    told = failover.figures(out)
-    assert not broken and told["lost"] == 0 and told["served_least"] >= 0.5
-    assert told["lease_kills"] == 0 and told["false_verdicts"] == 0
-    assert told["takeovers"] >= 3 and told["lead_s_p50"] < 2.3
+    summary = failover.figures(out)
+    assert not broken and summary["lost"] == 0 and summary["served_least"] >= 0.5
+    assert summary["lease_kills"] == 0 and summary["false_verdicts"] == 0
+    assert summary["takeovers"] >= 3 and summary["lead_s_p50"] < 2.3
     assert world.store.refused_calls == 0
 
 
-# -- bugs put in on purpose ---------------------------------------------------------------
+# -- deliberate bugs, each of which a test must find ----------------------------------
 
 
-def _silence_is_enough(patch: pytest.MonkeyPatch) -> None:
-    """Old silence counts, asked or not."""
-    patch.setattr(Views, "_doubtful", lambda self, view, now: True)
+def _any_silence_is_evidence(patch: pytest.MonkeyPatch) -> None:
+    """Bug: silence counts as evidence even without a request."""
+    patch.setattr(Views, "_is_silence_evidence", lambda self, view, now: True)
 
 
-def _waking_is_no_reason_to_wait(patch: pytest.MonkeyPatch) -> None:
-    def ran(self: Views, late_s: float) -> None:
+def _loop_delays_ignored(patch: pytest.MonkeyPatch) -> None:
+    def record_loop_delay(self: Views, late_s: float) -> None:
         pass
 
-    patch.setattr(Views, "ran", ran)
+    patch.setattr(Views, "record_loop_delay", record_loop_delay)
 
 
-def _silence_is_a_verdict(patch: pytest.MonkeyPatch) -> None:
-    plain = Views._state
+def _silence_means_failed(patch: pytest.MonkeyPatch) -> None:
+    plain = Views._evaluate_state
 
-    def state(self: Views, view: Any, now: float) -> str:
+    def evaluate_state(self: Views, view: Any, now: float) -> str:
         found = plain(self, view, now)
         return FAILED if found == SUSPECT else found
 
-    patch.setattr(Views, "_state", state)
+    patch.setattr(Views, "_evaluate_state", evaluate_state)
 
 
-def _any_process_is_believed(patch: pytest.MonkeyPatch) -> None:
-    plain = Views.take
+def _any_process_accepted(patch: pytest.MonkeyPatch) -> None:
+    plain = Views.accept_status
 
-    def take(self: Views, word: Word, answer: bool) -> bool:
-        if word.member in self.of:
-            self.of[word.member].answered_at = self.clock.now()
-            self.of[word.member].process = ""
-        return plain(self, word, answer)
+    def accept_status(self: Views, status: MemberStatus, answer: bool) -> bool:
+        if status.member in self.by_member:
+            self.by_member[status.member].answered_at = self.clock.now()
+            self.by_member[status.member].process = ""
+        return plain(self, status, answer)
 
-    patch.setattr(Views, "take", take)
+    patch.setattr(Views, "accept_status", accept_status)
     patch.setattr(constants, "WORD_OLD_S", 1e9)
 
 
-VIEW_BUGS = [_silence_is_enough, _waking_is_no_reason_to_wait, _silence_is_a_verdict]
-VIEW_BUGS += [_any_process_is_believed]
+VIEW_BUGS = [_any_silence_is_evidence, _loop_delays_ignored, _silence_means_failed]
+VIEW_BUGS += [_any_process_accepted]
 
 
 @pytest.mark.parametrize("bug", VIEW_BUGS)
-def test_bugs_in_views_are_found(bug: Callable[[Any], None]) -> None:
+def test_bugs_in_views_are_detected(bug: Callable[[Any], None]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         bug(patch)
         with pytest.raises((AssertionError, ExceptionGroup)):
             _run_machine()
 
 
-def _acts_until_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """The old leader goes on until its commit is answered."""
+def _acts_until_commit_answered(patch: pytest.MonkeyPatch) -> None:
+    """Bug: the old leader acts until its commit is answered."""
     plain = Leadership.hand_over
 
     async def hand_over(self: Leadership, *to: Any) -> bool:
-        depose = self.depose
-        self.depose = lambda: None  # type: ignore[method-assign]
+        depose = self.step_down
+        self.step_down = lambda: None  # type: ignore[method-assign]
         try:
             return await plain(self, *to)
         finally:
-            self.depose = depose  # type: ignore[method-assign]
+            self.step_down = depose  # type: ignore[method-assign]
             self._clock.now()
 
     patch.setattr(Leadership, "hand_over", hand_over)
 
 
-def _lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """A lease is counted from when it was heard of, and without a margin."""
+def _lease_counts_from_answer(patch: pytest.MonkeyPatch) -> None:
+    """Bug: a lease counts from when its grant was answered, and without a margin."""
 
-    def proved(self: Shelter, sent_at: float, ttl_s: float) -> None:
-        self.proved_until = self.known_until = self._clock.now() + 2 * ttl_s
+    def record_renewal(self: LeaseExpiry, sent_at: float, ttl_s: float) -> None:
+        self.lease_valid_until = self.cancellations_known_until = self._clock.now() + 2 * ttl_s
 
-    patch.setattr(Shelter, "proved", proved)
+    patch.setattr(LeaseExpiry, "record_renewal", record_renewal)
 
 
-def _resumes_when_unsure(patch: pytest.MonkeyPatch) -> None:
-    """A lost answer is taken for a commit that was not applied."""
+def _resumes_after_lost_answer(patch: pytest.MonkeyPatch) -> None:
+    """Bug: after a lost answer the commit counts as not executed."""
     plain = Leadership.hand_over
 
     async def hand_over(self: Leadership, *to: Any) -> bool:
-        token, until = self.token, self.shelter.proved_until
+        token, until = self.token, self.lease_expiry.lease_valid_until
         moved = await plain(self, *to)
         if not moved:
-            self.token, self.shelter.proved_until = token, until + 3.0
+            self.token, self.lease_expiry.lease_valid_until = token, until + 3.0
         return moved
 
     patch.setattr(Leadership, "hand_over", hand_over)
 
 
-KEY_BUGS = [_acts_until_the_answer, _lease_from_the_answer, _resumes_when_unsure]
+KEY_BUGS = [_acts_until_commit_answered, _lease_counts_from_answer, _resumes_after_lost_answer]
 
 
 @pytest.mark.parametrize("bug", KEY_BUGS)
-def test_bugs_in_the_keys_handover_are_found(bug: Callable[[Any], None]) -> None:
+def test_bugs_in_the_handover_of_the_key_are_detected(bug: Callable[[Any], None]) -> None:
     found = 0
     for seed in range(8):
         with pytest.MonkeyPatch.context() as patch:
             bug(patch)
             try:
-                tell(lambda world: _handovers(world, [], True), seed)
-            except Two:
+                tell(lambda world: _run_handovers(world, [], True), seed)
+            except MultipleLeaders:
                 found += 1
                 break
             except AssertionError:
@@ -572,18 +588,18 @@
     assert found
 
 
-def test_a_token_from_the_future_would_end_a_lead() -> None:
-    """Without the bound on tokens one lying message deposes a good leader."""
+def test_without_the_token_bound_a_false_token_ends_a_leadership() -> None:
+    """Without the bound on tokens a single false message makes a healthy leader step down."""
 
     async def story(world: World) -> None:
-        leader = _leader(world)
+        leader = _acting_leader(world)
         assert leader is not None
-        other = next(iter(leader.views.of))
-        word = world.nodes[other].word()  # type: ignore[union-attr]
-        word.token, word.seq = leader.leadership.token + 10_000_000, word.seq + 1
-        await leader.on_peer({"q": "ping", "arg": msgspec.to_builtins(word)})
-        assert not leader.leadership.acting()
+        other = next(iter(leader.views.by_member))
+        status = world.nodes[other].own_status()  # type: ignore[union-attr]
+        status.token, status.seq = leader.leadership.token + 10_000_000, status.seq + 1
+        await leader.on_peer({"q": "ping", "arg": msgspec.to_builtins(status)})
+        assert not leader.leadership.may_act()
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leadership.Ledger, "revision_bound", lambda self: 1 << 60)
+        patch.setattr(leadership.LedgerClient, "max_possible_revision", lambda self: 1 << 60)
         tell(story, 5, loss=0.0)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -8,21 +8,21 @@
 
 from chalkgrade import constants
 from chalkgrade.machines.fleet import Machine
-from chalkgrade.machines.placement import victims
+from chalkgrade.machines.placement import select_victims
 from chalkgrade.record.jobs import Job, JobValue
-from chalkgrade.record.oplog import OVER, Op, OpLog
+from chalkgrade.record.oplog import INTERRUPTED, Op, OpLog
 from chalkgrade.region.world import World, tell
 from chalkgrade.renting.boots import Boots
 from chalkgrade.renting.plan import Need, plan_rent
 from chalkgrade.serving.node import Node
-from chalkgrade.sharing import standing
-from chalkgrade.sharing.shares import Demand, Kind, allocate, spare_order
+from chalkgrade.sharing import wait_reasons
+from chalkgrade.sharing.bopf import QueueDemand, QueueKind, allocate, spare_capacity_order
 from test_placement_rentals import FLAVORS, busy, slot, spec
 
 
 def _roles(world: World) -> tuple[Node, list[Node]]:
     up = [node for node in world.nodes.values() if node is not None]
-    leader = next(node for node in up if node.term is not None and node.term.live())
+    leader = next(node for node in up if node.term is not None and node.term.is_serving())
     return leader, [node for node in up if node is not leader]
 
 
@@ -44,7 +44,7 @@
 def _fail(job: Job, index: int, machine: Machine) -> None:
     attempt = job.place(index, machine.name)
     job.finish(attempt, False, failed=True)
-    machine.failed[job] = machine.failed.get(job, 0) + 1
+    machine.failures_by_job[job] = machine.failures_by_job.get(job, 0) + 1
 
 
 def test_a_faulty_job_condemns_no_machine_and_a_faulty_machine_no_job() -> None:
@@ -57,12 +57,12 @@
     assert sick.failures == 1  # one job only: it may be the job's mistake
     for index in range(4, 8):
         _fail(broken, index, sound)
-    assert broken.faulty
+    assert broken.is_faulty
     assert (sick.failures, sound.failures) == (0, 0)
     for index in range(3):
         _fail(good, index, sick)
     assert sick.failures == 1
-    assert not good.faulty
+    assert not good.is_faulty
     good.finish(good.place(10, third.name), True)
     assert sick.failures >= constants.SUSPECT_FAILURES
     assert sound.failures == third.failures == 0
@@ -74,13 +74,13 @@
     machines = [Machine(name, "small", "a", True, 0.0) for name in "abc"]
     for index, machine in enumerate(machines[:2]):
         _fail(job, index, machine)
-    assert job.startable == 1
+    assert job.startable_count == 1
     probe = job.place(5, "c")
-    assert job.startable == 0
+    assert job.startable_count == 0
     job.finish(probe, False, failed=True)
-    assert (job.startable, job.probes) == (1, 1)
+    assert (job.startable_count, job.failed_probes) == (1, 1)
     job.finish(job.place(5, "c"), True)
-    assert job.startable == len(job.waiting) == 9
+    assert job.startable_count == len(job.waiting) == 9
 
 
 def test_a_service_that_ran_gets_its_replicas_back_after_failures_on_two_machines() -> None:
@@ -98,7 +98,7 @@
             task = worker.tasks[attempt.name, attempt.number]
             worker._exit(task, "error")
             worker.changed.set()
-            job.failed_on["host-999999"] = 1
+            job.failures_by_machine["host-999999"] = 1
         await asyncio.sleep(20.0)
         assert len(job.live) == 3
 
@@ -147,7 +147,7 @@
         assert (await others[0].handle("GET", path, b""))[0] == 200
         await asyncio.sleep(70.0)
         # The old leader has woken: it leads no more, and says nothing of its own.
-        assert leader.term is None or leader.leadership.token == leader.leadership.highest
+        assert leader.term is None or leader.leadership.token == leader.leadership.highest_token
 
     tell(story, loss=0.0)
 
@@ -159,11 +159,11 @@
     batch = _job("run-000002", log, 3)
     for job in (gang, batch):
         for machine in ("m1", "m2"):
-            number = job.next_try()
+            number = job.next_try_number()
             for attempt in [job.place(index, machine, number) for index in range(3)]:
                 job.finish(attempt, False, True)
-        assert job.faulty
-    assert (gang.startable, batch.startable) == (3, 1)
+        assert job.is_faulty
+    assert (gang.startable_count, batch.startable_count) == (3, 1)
 
 
 def test_a_leader_that_workers_cannot_reach_gets_their_reports(
@@ -188,7 +188,7 @@
         await asyncio.sleep(25.0)
         assert sum(name.startswith(job["nameId"]) for name in world.done) == 6
         await asyncio.sleep(20.0)
-        assert leader.leadership.acting()
+        assert leader.leadership.may_act()
         assert all(worker.tenure == 1 and worker.alive for worker in first.values())
         # Once the way is open again, the others need not carry reports for ever.
         await asyncio.sleep(2 * constants.RELAY_S)
@@ -201,9 +201,11 @@
     async def story(world: World) -> None:
         _, others = _roles(world)
         node = others[0]
-        before = sum(node.ledger.counts.values())
+        before = sum(node.ledger.response_counts.values())
         assert (await node.handle("GET", "/v2/runs/run-777777", b""))[0] == 404
-        assert sum(node.ledger.counts.values()) - before <= 2  # a watch may have ended meanwhile
+        assert (
+            sum(node.ledger.response_counts.values()) - before <= 2
+        )  # a watch may have ended meanwhile
         asked = [node.handle("GET", f"/v2/runs/run-{number}", b"") for number in range(2000)]
         begun = world.now
         answers = [status for status, _ in await asyncio.gather(*asked)]
@@ -222,12 +224,14 @@
         world.loop.freeze(leader.settings.member, world.now + 60.0)
         await asyncio.sleep(1.5)
         node = others[0]
-        node.intake.failed_at[leader.settings.member] = world.now * 2  # known not to answer
-        before = sum(node.ledger.counts.values())
+        node.job_api.request_failed_at[leader.settings.member] = (
+            world.now * 2
+        )  # known not to answer
+        before = sum(node.ledger.response_counts.values())
         asked = [node.handle("GET", f"/v2/runs/{name}", b"") for name in names]
         answers = await asyncio.gather(*asked)
         assert [status for status, _ in answers] == [200] * 12
-        assert sum(node.ledger.counts.values()) - before <= 6
+        assert sum(node.ledger.response_counts.values()) - before <= 6
 
     tell(story, loss=0.0)
 
@@ -236,15 +240,15 @@
     async def story(world: World) -> None:
         leader, _ = _roles(world)
         assert leader.term is not None
-        book = leader.term.book
+        book = leader.term.registry
         for number in range(40):
             await _submit(world, leader, number, tasks=1, expectedS=500.0)
         last = book.jobs[f"run-{39:06d}"]
         for job in list(book.jobs.values())[:39]:
             job.done = job.spec.tasks
-            book.progressed(job)
+            book.update_ending(job)
         book.abort(last)
-        changes, _ = leader.term.writer.collect()
+        changes, _ = leader.term.writer.collect_changes()
         edited = [name for change in changes for name in change.edits]
         assert edited.index(last.name) == 0
 
@@ -262,13 +266,13 @@
         job = await _submit(world, leader, 1, tasks=1, expectedS=3.0)
         value = {"spec": job, "at": 0.0, "aborted": False}
         assert leader.term is not None
-        add = leader.term.book.add
+        add = leader.term.registry.add
 
         def late(*args: Any, observe: bool, **more: Any) -> None:
             if not observe or "batch" in more:  # what the watch tells comes too late
                 add(*args, observe=observe, **more)
 
-        leader.term.book.add = late  # type: ignore[method-assign]
+        leader.term.registry.add = late  # type: ignore[method-assign]
         world.store._apply([{"write": f"cg/job/{job['nameId']}", "v": value}])
         token = leader.leadership.token
         fresh = world.spec(2, shape="batch", owner="blue", jobclass="small")
@@ -294,35 +298,41 @@
     async def story(world: World) -> None:
         leader, _ = _roles(world)
         assert leader.term is not None
-        token, book = leader.leadership.token, leader.term.book
+        token, book = leader.leadership.token, leader.term.registry
         for index in range(2000):
-            book.log.add(Op("run-999999", index, 1, OVER))
+            book.oplog.add(Op("run-999999", index, 1, INTERRUPTED))
         book.flush_wanted.set()
         await asyncio.sleep(10.0)
-        assert not book.log.pending
+        assert not book.oplog.pending
         assert leader.leadership.token == token
-        assert not any(segment.refs for segment in book.log.segments.values())
+        assert not any(segment.needed_pages for segment in book.oplog.segments.values())
 
     tell(story, loss=0.0)
 
 
 def test_guests_come_last_and_give_way_only_what_they_borrowed() -> None:
     room = (10.0, 0.0, 100.0)
-    plain = dict(kind=Kind.ELASTIC, task=(1.0, 0.0, 1.0), wants=(10.0, 0.0, 10.0))
-    plain |= dict(rate=(0.0, 0.0, 0.0), remaining=1.0, urgency=1)
-    guest = Demand("g/c", "g", guest=True, **plain)  # type: ignore[arg-type]
-    team = Demand("t/c", "t", **plain)  # type: ignore[arg-type]
+    plain = dict(kind=QueueKind.ELASTIC, task=(1.0, 0.0, 1.0), wanted=(10.0, 0.0, 10.0))
+    plain |= dict(rate=(0.0, 0.0, 0.0), remaining_work=1.0, urgency=1)
+    guest = QueueDemand("g/c", "g", is_best_effort=True, **plain)  # type: ignore[arg-type]
+    team = QueueDemand("t/c", "t", **plain)  # type: ignore[arg-type]
     grants = dict(allocate([guest, team], room)[1])
     assert grants["t/c"][0] == 10.0
     assert grants["g/c"][0] == 0.0
-    assert spare_order([guest, team], lambda d: 0.0 if d.guest else 1.0) == ["t/c", "g/c"]
+    assert spare_capacity_order([guest, team], lambda d: 0.0 if d.is_best_effort else 1.0) == [
+        "t/c",
+        "g/c",
+    ]
     full = slot("m", 0.0)
-    full.seen = [busy("g/0", 2, 50.0, 3.0, owner="g"), busy("t/0", 0, 50.0, 1.0, owner="t")]
+    full.loaded_occupants = [
+        busy("g/0", 2, 50.0, 3.0, owner="g"),
+        busy("t/0", 0, 50.0, 1.0, owner="t"),
+    ]
     asker = spec(owner="red", urgency="standard")
-    found = victims(asker, full, False, {"g": (1.0, 0.0)}, borrowed_only=True)
+    found = select_victims(asker, full, False, {"g": (1.0, 0.0)}, borrowed_only=True)
     assert found is not None
     assert [mate.task for mate in found] == ["g/0"]
-    assert victims(asker, full, False, {}, borrowed_only=True) is None
+    assert select_victims(asker, full, False, {}, borrowed_only=True) is None
 
 
 POOL = ("small", "a", True)
@@ -370,11 +380,11 @@
         await asyncio.sleep(5.0)
         term = leader.term
         assert term is not None
-        assert term.scheduling.standing() == {("small", standing.CAPACITY): 5}
+        assert term.scheduling.standing() == {("small", wait_reasons.REASON_NO_CAPACITY): 5}
         world.cloud.rooms = {("small", "a", True): 1}
         while not term.fleet.machines:
             await asyncio.sleep(0.5)
-        assert term.scheduling.standing() == {("small", standing.BOOTING): 5}
+        assert term.scheduling.standing() == {("small", wait_reasons.REASON_BOOTING): 5}
         while world.started < 4:
             await asyncio.sleep(0.5)
         world.cloud.rooms = dict.fromkeys(world.cloud.rooms, 0)
@@ -383,8 +393,10 @@
         world.store.outage(30.0)
         await asyncio.sleep(6.0)
         if leader.term is term:
-            assert {why for _, why in term.scheduling.standing()} == {standing.STATE}
-        assert standing.line({("b", "x"): 1, ("a", "y"): 2, ("a", "z"): 3}) == (
+            assert {why for _, why in term.scheduling.standing()} == {
+                wait_reasons.REASON_STATE_UNREACHABLE
+            }
+        assert wait_reasons.format_wait_reasons({("b", "x"): 1, ("a", "y"): 2, ("a", "z"): 3}) == (
             "a: 3 z, 2 y; b: 1 x"
         )
 
@@ -407,7 +419,7 @@
             return status, answer
 
         world.store._commit = first_only  # type: ignore[method-assign]
-        assert await ledger.present(["x/a", "x/b", "x/c", "x/d"]) == {"x/b", "x/c"}
+        assert await ledger.existing_keys(["x/a", "x/b", "x/c", "x/d"]) == {"x/b", "x/c"}
 
     tell(story, loss=0.0)
 
@@ -434,7 +446,7 @@
         await asyncio.sleep(15.0)
         heir, _ = _roles(world)
         assert heir.term is not None
-        assert len(heir.term.jobs) + len(heir.term.book.over) >= 301 - len(world.done)
+        assert len(heir.term.jobs) + len(heir.term.registry.over) >= 301 - len(world.done)
         job = heir.term.jobs[huge["nameId"]]
         assert len(job.waiting) + len(job.live) + job.done == 100_000
         before = world.started
