--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -124,7 +124,7 @@
 
 def test_ignoring_constraints_breaks_placement(monkeypatch: pytest.MonkeyPatch) -> None:
     for where in ("machines.placement", "sharing.cluster_snapshot"):
-        monkeypatch.setattr(f"chalkgrade.{where}.allowed", lambda *_: True)
+        monkeypatch.setattr(f"chalkgrade.{where}.may_use_machine", lambda *_: True)
     _breaks("wrong_place", troubled=False)
 
 
