--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -21,7 +21,7 @@
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.loop import HandClock, VirtualLoop
 from chalkgrade.region.world import World, close
-from chalkgrade.renting.boots import Boots
+from chalkgrade.renting.boot_times import BootTimes
 from chalkgrade.settings import Team
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.sharing.term_context import TermContext
@@ -307,7 +307,7 @@
     clock.at += 10.0
     office: Any = SimpleNamespace(settings=settings, clock=clock)
     book: Any = SimpleNamespace(jobs=jobs)
-    renter: Any = SimpleNamespace(boots=Boots())
+    renter: Any = SimpleNamespace(boot_times=BootTimes())
     domain = TermContext(office, book, fleet, queues, flavors, lambda: True)
     moves = part.Moves(
         domain, MoveSettings(per_minute=6000.0), renter, lambda job, count: count, lambda _: False
--- a/src/chalkgrade/extensions/subsystems.py
+++ b/src/chalkgrade/extensions/subsystems.py
@@ -41,14 +41,14 @@
             settings.parts[row.name] = named(Path(path), reading)
 
 
-def create_components(settings: Settings, joint: Any) -> Iterable[Any]:
+def create_components(settings: Settings, subsystem_context: Any) -> Iterable[Any]:
     """Yields the components of the subsystems that are on, in the table's order.
 
-    `joint` is the interface that they get; see `renting.joint`.
+    `subsystem_context` is the interface that they get; see `renting.subsystem_context`.
     """
     for row in SUBSYSTEMS:
         if row.name in settings.parts:
-            yield _module(row.name, "part").join(settings.parts[row.name], joint)
+            yield _module(row.name, "part").join(settings.parts[row.name], subsystem_context)
 
 
 def submission_checks(settings: Settings) -> list[Callable[[Any], str | None]]:
--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -42,8 +42,10 @@
     clock, fleet, most = term_context.context.clock, term_context.fleet, constants.HINTS_EACH
     now, shift = clock.now(), clock.wall() - clock.now()
     out = Hints(term_context.context.token, clock.wall())
-    out.ratios, out.never = renter.boots.told(shift)
-    out.refused = [(pool, until + shift) for pool, until in renter.blocked.items() if until > now]
+    out.ratios, out.never = renter.boot_times.export_history(shift)
+    out.refused = [
+        (pool, until + shift) for pool, until in renter.refused_until.items() if until > now
+    ]
     machines = fleet.machines.values()
     out.booting = [
         (m.name, (m.hosttype, m.site, m.standby), m.rented_at + shift)
@@ -67,9 +69,9 @@
     """Applies the previous leader's hints to a new term where they agree with the record."""
     clock, fleet, jobs = term_context.context.clock, term_context.fleet, term_context.registry.jobs
     shift = clock.now() - clock.wall()
-    renter.boots.hear(hints.ratios, hints.never, shift)
+    renter.boot_times.import_history(hints.ratios, hints.never, shift)
     latest = clock.now() + constants.REFUSED_S
-    renter.blocked |= {pool: min(latest, until + shift) for pool, until in hints.refused}
+    renter.refused_until |= {pool: min(latest, until + shift) for pool, until in hints.refused}
     for name, pool, rented_at in hints.booting:
         machine = fleet.get_or_add(name, *pool)
         machine.rented_this_term, machine.rented_at = True, rented_at + shift
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -29,9 +29,9 @@
 from chalkgrade.record.jobs import JOB_PREFIX, Attempt, Job, JobSpec, JobValue
 from chalkgrade.record.registry import JobRegistry
 from chalkgrade.record.writer import Writer
-from chalkgrade.renting.cloud import Cloud
-from chalkgrade.renting.joint import Joint
+from chalkgrade.renting.cloud import CloudClient
 from chalkgrade.renting.renter import Renter
+from chalkgrade.renting.subsystem_context import SubsystemContext
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.sharing.term_context import TermContext
 from chalkgrade.state.client import Conflict, NotExecuted
@@ -50,7 +50,7 @@
     def __init__(
         self,
         context: LeaderContext,
-        cloud: Cloud,
+        cloud: CloudClient,
         flavors: dict[str, Flavor],
         remember_final_state: Callable[[str, str, int], object],
         http: Http,
@@ -72,10 +72,12 @@
             context, self.registry, self.fleet, self.queues, flavors, self.is_serving
         )
         self.renter = Renter(term_context, cloud, self._on_attempt_lost, self._max_demand)
-        self.renter.coming = lambda: self.pipelines.graph.coming(
+        self.renter.upcoming_jobs = lambda: self.pipelines.graph.coming(
             self.queues.remaining_makespan_s, constants.COMING_S
         )
-        self.scheduling = RoundScheduler(term_context, self._expire_leases, self.renter.refused)
+        self.scheduling = RoundScheduler(
+            term_context, self._expire_leases, self.renter.refused_pools
+        )
         self.reports = ReportHandler(
             term_context, self.scheduling, self._on_report_accepted, self._on_attempt_ended
         )
@@ -92,10 +94,10 @@
         self.add_component(FailureTracker(context.token, context.clock))
         self.add_component(self.scheduling)
         self.add_component(self.renter)
-        joint = Joint(
+        subsystem_context = SubsystemContext(
             term_context, self.renter, self._max_demand, self._holds_scarce_resource, http
         )
-        for component in subsystems.create_components(context.settings, joint):
+        for component in subsystems.create_components(context.settings, subsystem_context):
             self.add_component(component)
 
     def add_component(self, component: Component) -> None:
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -10,7 +10,7 @@
 from chalkgrade.licences.stock import stocks
 from chalkgrade.outside import Http
 from chalkgrade.record.jobs import JobSpec
-from chalkgrade.renting.joint import Joint
+from chalkgrade.renting.subsystem_context import SubsystemContext
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.state.leader_context import LeaderContext
 
@@ -55,9 +55,14 @@
         yield labelled_sample("licence_fresh", what, "pool", fresh, counter=False)
 
 
-def join(own: LicenceSettings, joint: Joint) -> Licences:
+def join(own: LicenceSettings, subsystem_context: SubsystemContext) -> Licences:
     """The table of subsystems asks for this."""
-    return Licences(joint.domain.context, joint.domain.queues, own, joint.http)
+    return Licences(
+        subsystem_context.term_context.context,
+        subsystem_context.term_context.queues,
+        own,
+        subsystem_context.http,
+    )
 
 
 def refusal(own: LicenceSettings) -> Callable[[JobSpec], str | None]:
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -25,8 +25,8 @@
 from chalkgrade.outside import Bucket
 from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
+from chalkgrade.renting.subsystem_context import SubsystemContext
 from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
 from chalkgrade.sharing.constraints import TeamLimits
 from chalkgrade.sharing.term_context import TermContext
@@ -330,7 +330,9 @@
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
             if may_use_machine(job.spec, *pool) and tasks_per_machine(job.spec, flavor) >= 1:
-                left = self.renter.boots.left(pool, flavor.bootS, now - machine.rented_at)
+                left = self.renter.boot_times.remaining_boot_s(
+                    pool, flavor.bootS, now - machine.rented_at
+                )
                 best = min(best, left if left is not None else float("inf"))
         return best
 
@@ -424,6 +426,12 @@
         yield labelled_sample("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
 
 
-def join(own: MoveSettings, joint: Joint) -> Moves:
+def join(own: MoveSettings, subsystem_context: SubsystemContext) -> Moves:
     """The table of subsystems asks for this."""
-    return Moves(joint.domain, own, joint.renter, joint.able, joint.ties)
+    return Moves(
+        subsystem_context.term_context,
+        own,
+        subsystem_context.renter,
+        subsystem_context.startable_tasks,
+        subsystem_context.holds_scarce_resource,
+    )
--- a/src/chalkgrade/renting/cloud.py
+++ b/src/chalkgrade/renting/cloud.py
@@ -13,7 +13,7 @@
 from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
 
 
-class Listed(msgspec.Struct):
+class ListedMachine(msgspec.Struct):
     nameId: str
     hosttype: str
     site: str
@@ -23,24 +23,24 @@
     addr: str = ""
 
 
-class Flavors(msgspec.Struct):
+class FlavorList(msgspec.Struct):
     hosttypes: list[Flavor]
 
 
-class Hosts(msgspec.Struct):
+class RentedHosts(msgspec.Struct):
     hosts: list[str]
 
 
 class MachineList(msgspec.Struct):
-    hosts: list[Listed]
+    hosts: list[ListedMachine]
     more: bool = False
 
 
-class Refused(Exception):
+class RentalRefusedError(Exception):
     """No capacity in that pool now."""
 
 
-class Cloud:
+class CloudClient:
     """The calls to the cloud, within this node's part of the call budget."""
 
     def __init__(self, http: Http, clock: Clock, addr: str, rps: float) -> None:
@@ -48,41 +48,41 @@
         self._clock = clock
         self._addr = addr
         # Only the leader calls regularly; followers read the flavors once at their start.
-        self.calls = Bucket(clock, rps * 0.8, rps)
-        self.counts: dict[str, int] = {}
-        self.answered_at = self.failed_at = -1e9
+        self.call_bucket = Bucket(clock, rps * 0.8, rps)
+        self.response_counts: dict[str, int] = {}
+        self.last_response_at = self.last_failure_at = -1e9
 
-    def reached(self) -> bool | None:
+    def is_reachable(self) -> bool | None:
         """Whether the last call was answered at all; None when there was none lately."""
-        last = max(self.answered_at, self.failed_at)
+        last = max(self.last_response_at, self.last_failure_at)
         if self._clock.now() - last > constants.REACHED_S:
             return None
-        return self.answered_at >= self.failed_at
+        return self.last_response_at >= self.last_failure_at
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        await self.calls.wait()
+        await self.call_bucket.wait()
         payload = None if body is None else encode(body)
         try:
             reply = await self._http.call(
                 self._addr, method, path, payload, constants.CLOUD_TIMEOUT_S
             )
         except NoAnswer:
-            self.failed_at = self._clock.now()
+            self.last_failure_at = self._clock.now()
             raise
-        self.answered_at = self._clock.now()
-        self.counts[str(reply.status)] = self.counts.get(str(reply.status), 0) + 1
+        self.last_response_at = self._clock.now()
+        self.response_counts[str(reply.status)] = self.response_counts.get(str(reply.status), 0) + 1
         return reply
 
-    async def flavors(self) -> list[Flavor]:
+    async def list_flavors(self) -> list[Flavor]:
         status, data = await self._call("GET", "/flavors")
         if status != 200:
             raise NoAnswer(f"flavors: status {status}")
-        return decode(data, Flavors).hosttypes
+        return decode(data, FlavorList).hosttypes
 
-    async def machines(self) -> tuple[list[Listed], float]:
+    async def list_machines(self) -> tuple[list[ListedMachine], float]:
         """All machines, and when the list was asked for."""
         asked = self._clock.now()
-        rows: list[Listed] = []
+        rows: list[ListedMachine] = []
         after = ""
         while True:
             path = "/rentals?page=500" + (f"&after={after}" if after else "")
@@ -106,11 +106,11 @@
         }
         status, data = await self._call("POST", "/rentals", body)
         if status == 200:
-            return decode(data, Hosts).hosts
+            return decode(data, RentedHosts).hosts
         if status == 503 and b"no capacity" in data:
-            raise Refused
+            raise RentalRefusedError
         if status == 400:
-            raise Refused  # asking again for the same can't help
+            raise RentalRefusedError  # asking again for the same can't help
         raise NoAnswer(f"rent: status {status}")
 
     async def release(self, names: list[str]) -> None:
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -6,13 +6,13 @@
 
 from chalkgrade import constants
 from chalkgrade.record.jobs import Attempt, Job, JobSpec
-from chalkgrade.renting.headroom import NEVER, Headroom, Lane
-from chalkgrade.renting.plan import Need
+from chalkgrade.renting.headroom import NEVER, CapacityTimeline, Headroom
+from chalkgrade.renting.plan import RentalNeed
 from chalkgrade.renting.report import PlanReport
 from chalkgrade.sharing.term_context import TermContext
 
 
-def _alike(one: JobSpec, other: JobSpec) -> bool:
+def _has_same_requirements(one: JobSpec, other: JobSpec) -> bool:
     """Whether the same machines serve both alike."""
     return all(
         getattr(one, name) == getattr(other, name)
@@ -29,8 +29,8 @@
     )
 
 
-def _lane(limit: float, busy: Iterable[tuple[float, float]]) -> Lane | None:
-    return Lane(limit, busy) if limit else None
+def _timeline(limit: float, busy: Iterable[tuple[float, float]]) -> CapacityTimeline | None:
+    return CapacityTimeline(limit, busy) if limit else None
 
 
 class WaitingWork:
@@ -38,29 +38,34 @@
 
     def __init__(self, domain: TermContext, able: Callable[[Job, int], int]) -> None:
         self._settings = domain.context.settings
-        self._book = domain.registry
+        self._registry = domain.registry
         self._fleet = domain.fleet
         self._queues = domain.queues
         self._flavors = domain.flavors
-        self._able = able  # how many waiting tasks could start, as far as gates are concerned
+        self._startable_tasks = (
+            able  # how many waiting tasks could start, as far as gates are concerned
+        )
 
-    def needs(self, coming: Iterable[tuple[Job, float]], report: PlanReport) -> list[Need]:
+    def rental_needs(
+        self, coming: Iterable[tuple[Job, float]], report: PlanReport
+    ) -> list[RentalNeed]:
         """Waiting work; `coming`: jobs, and in how many s they may run."""
-        out: list[Need] = []
-        jobs = [job for job in self._book.jobs.values() if not job.is_blocked]
+        out: list[RentalNeed] = []
+        jobs = [job for job in self._registry.jobs.values() if not job.is_blocked]
         for job in sorted(jobs, key=self._queues.scheduling_key):
             # A faulty job, or one without seats, gets no more machines than it may use.
-            tasks = self._able(job, job.startable_count)
+            tasks = self._startable_tasks(job, job.startable_count)
             if job.aborted or job.aborting or not tasks:
                 continue
-            spec = self._bound(job)
-            report.of(spec.owner).wanted += tasks * spec.vcpus
-            self._add(
-                out, Need(spec, tasks, self._queues.expected_run_s(job), self._patience_s(job))
+            spec = self._with_bound_zone(job)
+            report.team_plan(spec.owner).wanted += tasks * spec.vcpus
+            self._merge_or_append(
+                out,
+                RentalNeed(spec, tasks, self._queues.expected_run_s(job), self._patience_s(job)),
             )
-        return out + list(self._coming(coming))
+        return out + list(self._upcoming_needs(coming))
 
-    def headroom(self, ends: Mapping[Attempt, float]) -> dict[str, Headroom]:
+    def team_headroom(self, ends: Mapping[Attempt, float]) -> dict[str, Headroom]:
         """What the maxima of the teams that have some leave, now and as running tasks end.
 
         `ends`: in how many seconds; what is not there (its machine is silent, or no more to be
@@ -69,14 +74,14 @@
         limited = {team.name: team for team in self._settings.cluster.teams}
         limited = {name: team for name, team in limited.items() if team.cpus_max or team.gpus_max}
         busy: dict[str, list[tuple[float, JobSpec]]] = {name: [] for name in limited}
-        for job in self._book.jobs.values():
+        for job in self._registry.jobs.values():
             if job.spec.owner in limited:
                 live = job.live.values()
                 busy[job.spec.owner] += [(ends.get(one, NEVER), job.spec) for one in live]
         return {
             name: Headroom(
-                _lane(team.cpus_max, ((at, spec.vcpus) for at, spec in busy[name])),
-                _lane(team.gpus_max, ((at, spec.gpus) for at, spec in busy[name])),
+                _timeline(team.cpus_max, ((at, spec.vcpus) for at, spec in busy[name])),
+                _timeline(team.gpus_max, ((at, spec.gpus) for at, spec in busy[name])),
             )
             for name, team in limited.items()
         }
@@ -86,25 +91,31 @@
         patience = constants.GUEST_PATIENCE_S if guest else constants.PATIENCE_S
         return min(patience, max(0.0, self._queues.slack_s(job)))
 
-    def _add(self, out: list[Need], need: Need) -> None:
+    def _merge_or_append(self, out: list[RentalNeed], need: RentalNeed) -> None:
         """A thousand jobs of one task each are planned as one of a thousand."""
         last = out[-1] if out else None
-        if last is None or last.spec.shape == "gang" or not _alike(last.spec, need.spec):
+        if (
+            last is None
+            or last.spec.shape == "gang"
+            or not _has_same_requirements(last.spec, need.spec)
+        ):
             out.append(need)
             return
         last.run_s += (need.run_s - last.run_s) * need.tasks / (last.tasks + need.tasks)
         last.tasks += need.tasks
         last.patience_s = min(last.patience_s, need.patience_s)
 
-    def _coming(self, coming: Iterable[tuple[Job, float]]) -> Iterable[Need]:
+    def _upcoming_needs(self, coming: Iterable[tuple[Job, float]]) -> Iterable[RentalNeed]:
         """Jobs that may run before a machine that is rented then would be up."""
         boot_s = min((flavor.bootS for flavor in self._flavors.values()), default=0.0)
         for job, in_s in coming:
             if in_s <= boot_s:
                 patience = in_s + constants.PATIENCE_S
-                yield Need(job.spec, job.spec.tasks, self._queues.expected_run_s(job), patience)
+                yield RentalNeed(
+                    job.spec, job.spec.tasks, self._queues.expected_run_s(job), patience
+                )
 
-    def _bound(self, job: Job) -> JobSpec:
+    def _with_bound_zone(self, job: Job) -> JobSpec:
         """What a job asks for, and the zone that its live tasks bind it to.
 
         Found when a zone lost most of its machines: the cheapest resources was rented in the other
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -18,11 +18,11 @@
 from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.renting.boots import Boots
-from chalkgrade.renting.cloud import Cloud, Refused
+from chalkgrade.renting.boot_times import BootTimes
+from chalkgrade.renting.cloud import CloudClient, RentalRefusedError
 from chalkgrade.renting.headroom import NEVER
 from chalkgrade.renting.needs import WaitingWork
-from chalkgrade.renting.plan import Have, plan_rent
+from chalkgrade.renting.plan import MachineCapacity, plan_rentals
 from chalkgrade.renting.report import PlanReport
 from chalkgrade.sharing.term_context import TermContext
 
@@ -35,86 +35,88 @@
     def __init__(
         self,
         domain: TermContext,
-        cloud: Cloud,
+        cloud: CloudClient,
         lost: Callable[[Attempt], None],
         able: Callable[[Job, int], int],
     ) -> None:
         self.settings = domain.context.settings
         self.clock = clock = domain.context.clock
-        self.book = domain.registry
+        self.registry = domain.registry
         self.fleet = domain.fleet
         self.queues = domain.queues
         self.flavors = domain.flavors
         # The machine types, for controllers that can't ask the cloud.
-        self.types = persisted_flavors(domain.flavors)
-        self.persisted_values = [self.types]
+        self.flavor_record = persisted_flavors(domain.flavors)
+        self.persisted_values = [self.flavor_record]
         self.decision_loops = [self.run]
         self.cloud = cloud
-        self.live = domain.is_serving
-        self.waiting = WaitingWork(domain, able)
+        self.is_serving = domain.is_serving
+        self.waiting_work = WaitingWork(domain, able)
         self.report = PlanReport()  # of the last plan
-        self.told_at = -1e9
-        self.lost = lost  # an attempt went with its machine
-        self.wanted = asyncio.Event()
-        self.blocked: dict[Pool, float] = {}
-        self.hires: dict[Pool, tuple[str, int]] = {}
-        self.hire_number = 0
+        self.report_logged_at = -1e9
+        self.on_attempt_lost = lost  # an attempt went with its machine
+        self.plan_requested = asyncio.Event()
+        self.refused_until: dict[Pool, float] = {}
+        self.pending_rentals: dict[Pool, tuple[str, int]] = {}
+        self.rental_number = 0
         # Jobs that wait for others, and in how many s they may run, the first first.
-        self.coming: Callable[[], list[tuple[Job, float]]] = list
-        self.doomed: dict[str, None] = {}  # names to release
-        self.began = clock.now()
-        self.settled = False
-        self.boots = Boots()
-        self.doubted: set[Pool] = set()
-        self.work_waits = True  # some work waited at the last plan
+        self.upcoming_jobs: Callable[[], list[tuple[Job, float]]] = list
+        self.pending_releases: dict[str, None] = {}  # names to release
+        self.started_at = clock.now()
+        self.has_enough_reports = False
+        self.boot_times = BootTimes()
+        self.unreliable_pools: set[Pool] = set()
+        self.has_waiting_work = True  # some work waited at the last plan
         self.planned_at = -1e9
-        self.plan_took = 0.0
+        self.plan_duration_s = 0.0
 
     def start(self) -> None:
-        self.began = self.clock.now()
-        self.settled = not self.types.stamp  # nobody has led before: there is nothing to wait for
+        self.started_at = self.clock.now()
+        self.has_enough_reports = (
+            not self.flavor_record.stamp
+        )  # nobody has led before: there is nothing to wait for
 
-    def _settle(self) -> bool:
+    def _check_enough_reports(self) -> bool:
         """Whether so many machines have reported that what is short can be seen.
 
         What the last leader rented a moment ago is in no list yet, and what its machines
         run and could take is known from their reports alone.
         """
-        if not self.settled:
+        if not self.has_enough_reports:
             there = [m for m in self.fleet.machines.values() if m.status == "running" or m.attempts]
             heard = sum(machine.reported_at is not None for machine in there)
-            self.settled = (
-                self.clock.now() - self.began > constants.NEW_TERM_S
+            self.has_enough_reports = (
+                self.clock.now() - self.started_at > constants.NEW_TERM_S
                 or 0 < constants.NEW_TERM_PART * len(there) <= heard
             )
-        return self.settled
+        return self.has_enough_reports
 
     def on_job(self, job: Job, fresh: bool) -> None:
-        self.wanted.set()
+        self.plan_requested.set()
 
     def on_report(self, machine: Machine, first: bool) -> None:
         flavor = self.flavors.get(machine.hosttype)
         if first and machine.rented_this_term and flavor is not None:
             pool = (machine.hosttype, machine.site, machine.standby)
-            self.boots.came(pool, machine.rented_at, self.clock.now(), flavor.bootS)
+            self.boot_times.record_boot(pool, machine.rented_at, self.clock.now(), flavor.bootS)
 
     def samples(self) -> Iterable[Sample]:
         return self.report.samples()
 
-    def _tell(self, now: float) -> None:
+    def _log_report(self, now: float) -> None:
         """Say what the last plan made of each team's work: seldom to operators, else for traces."""
         if not self.report.teams:
             return
-        often = now - self.told_at < constants.TELL_EVERY_S
+        often = now - self.report_logged_at < constants.TELL_EVERY_S
         if not often:
-            self.told_at = now
+            self.report_logged_at = now
         level = logging.DEBUG if often else logging.INFO
-        log.log(level, "rental plan: %s", self.report.line(), extra=about(self.fleet.token))
+        log.log(level, "rental plan: %s", self.report.format_line(), extra=about(self.fleet.token))
 
-    def refused(self) -> set[Pool]:
+    def refused_pools(self) -> set[Pool]:
         """Pools that had no capacity of late."""
         now = self.clock.now()
-        return {pool for pool, until in self.blocked.items() if until > now}
+        return {pool for pool, until in self.refused_until.items() if until > now}
 
     async def run(self) -> None:
         flavors_at = -1e9
@@ -124,43 +126,43 @@
                 if began - flavors_at > constants.FLAVORS_EVERY_S:
                     await self._refresh_flavors()
                     flavors_at = began
-                await self._refresh_list()
-                if self.live():
-                    await self._release()
-                    if self._settle():
-                        await self._rent()
+                await self._refresh_machines()
+                if self.is_serving():
+                    await self._release_machines()
+                    if self._check_enough_reports():
+                        await self._rent_machines()
             except NoAnswer as error:
                 log.info("cloud: %s", error)
             pause = max(0.3, constants.LIST_EVERY_S - (self.clock.now() - began))
-            self.wanted.clear()
+            self.plan_requested.clear()
             try:
                 async with asyncio.timeout(pause):
-                    await self.wanted.wait()
+                    await self.plan_requested.wait()
             except TimeoutError:
                 continue
             # New work: machines take long enough to boot. The list can wait. But many
             # small jobs a second must not each cost a plan.
-            gap = max(constants.PLAN_GAP_S, constants.PLAN_REST * self.plan_took)
+            gap = max(constants.PLAN_GAP_S, constants.PLAN_REST * self.plan_duration_s)
             await asyncio.sleep(max(0.0, self.planned_at + gap - self.clock.now()))
             try:
-                if self.live() and self._settle():
-                    await self._rent()
+                if self.is_serving() and self._check_enough_reports():
+                    await self._rent_machines()
             except NoAnswer as error:
                 log.info("cloud: %s", error)
 
     async def _refresh_flavors(self) -> None:
-        flavors = await self.cloud.flavors()
+        flavors = await self.cloud.list_flavors()
         shape = [(f.sku, f.resources, f.sites) for f in flavors]
         if shape != [(f.sku, f.resources, f.sites) for f in self.flavors.values()] or (
-            not self.types.stamp
+            not self.flavor_record.stamp
         ):
-            self.types.mark_changed()
-            self.book.flush_wanted.set()
+            self.flavor_record.mark_changed()
+            self.registry.flush_wanted.set()
         self.flavors.clear()
         self.flavors.update({flavor.sku: flavor for flavor in flavors})
 
-    async def _refresh_list(self) -> None:
-        rows, asked = await self.cloud.machines()
+    async def _refresh_machines(self) -> None:
+        rows, asked = await self.cloud.list_machines()
         now = self.clock.now()
         names = set()
         for row in rows:
@@ -173,11 +175,11 @@
                 machine.rented_at = now - row.ageS
             machine.status = row.status
         for machine in self.fleet.machines.values():
-            why = self._useless(machine, machine.name in names, asked, now)
+            why = self._release_reason(machine, machine.name in names, asked, now)
             if why:
-                self._doom(machine, why)
+                self._schedule_release(machine, why)
 
-    def _useless(self, machine: Machine, listed: bool, asked: float, now: float) -> str:
+    def _release_reason(self, machine: Machine, listed: bool, asked: float, now: float) -> str:
         """Why a machine is to be returned, or nothing."""
         lag = self.settings.cluster.cloud.list_lag_s * 2 + 1
         silent = now - max(machine.reported_at or 0.0, machine.known_at)
@@ -200,7 +202,10 @@
             if now - machine.known_at > constants.BOOT_KNOWN_S:
                 if age > patience:
                     return "never came up"
-                if self.boots.late(pool, flavor.bootS, age) and not self.work_waits:
+                if (
+                    self.boot_times.is_overdue(pool, flavor.bootS, age)
+                    and not self.has_waiting_work
+                ):
                     return "late, and nothing waits for it"
         elif (
             machine.reported_at is not None
@@ -220,10 +225,10 @@
             return "suspect"
         return ""
 
-    def _doom(self, machine: Machine, why: str) -> None:
+    def _schedule_release(self, machine: Machine, why: str) -> None:
         if not machine.releasing:
-            if self._boots(machine, self.clock.now()):
-                self.boots.lost(
+            if self._is_booting(machine, self.clock.now()):
+                self.boot_times.record_failed_boot(
                     (machine.hosttype, machine.site, machine.standby), machine.rented_at
                 )
             log.info(
@@ -235,16 +240,16 @@
                 extra=about(self.fleet.token, machine=machine.name),
             )
             machine.releasing = True
-        self.doomed[machine.name] = None
+        self.pending_releases[machine.name] = None
 
-    async def _release(self) -> None:
+    async def _release_machines(self) -> None:
         """Return what is doomed or idle; what the cloud has confirmed is surely gone."""
         now = self.clock.now()
         patience = self.settings.operator.idle_release_s
         if self.clock.wall() - self.queues.last_submission_at > constants.LULL_S:
             # Nobody has asked for anything lately: there is less to keep machines for.
             patience = min(patience, constants.LULL_RELEASE_S)
-        coming = [[job, in_s, job.spec.tasks] for job, in_s in self.coming()]
+        coming = [[job, in_s, job.spec.tasks] for job, in_s in self.upcoming_jobs()]
         for machine in self.fleet.machines.values():
             if machine.attempts or machine.tasks or machine.reported_at is None:
                 # The backstop for aborted work on a machine that does not answer, or does not
@@ -253,23 +258,27 @@
                 silent = now - max(machine.reported_at or 0.0, machine.known_at)
                 lost = silent > self.fleet.silent_s or machine.response_tracker.responses_lost
                 if lost and any(a.job.aborted for a in machine.attempts.values()):
-                    self._doom(machine, "aborted work on a machine that can't be asked")
+                    self._schedule_release(machine, "aborted work on a machine that can't be asked")
                 continue
-            idle = now - max(machine.busy_at, self.began)
-            if idle > patience and not machine.releasing and not self._kept(machine, coming):
-                self._doom(machine, "idle")
-        while self.doomed:
-            names = list(self.doomed)[: constants.RELEASE_MAX]
+            idle = now - max(machine.busy_at, self.started_at)
+            if (
+                idle > patience
+                and not machine.releasing
+                and not self._is_kept_for_upcoming(machine, coming)
+            ):
+                self._schedule_release(machine, "idle")
+        while self.pending_releases:
+            names = list(self.pending_releases)[: constants.RELEASE_MAX]
             await self.cloud.release(names)
             for name in names:
-                del self.doomed[name]
+                del self.pending_releases[name]
                 gone = self.fleet.machines.get(name)
                 if gone is None:
                     continue
                 for attempt in self.fleet.remove_machine(gone):
-                    self.lost(attempt)
+                    self.on_attempt_lost(attempt)
 
-    def _kept(self, machine: Machine, coming: list[Any]) -> bool:
+    def _is_kept_for_upcoming(self, machine: Machine, coming: list[Any]) -> bool:
         """Whether an idle machine is kept for work that may run before another would be up.
 
         `coming`: jobs, in how many s they may run, and how many of their tasks have no machine
@@ -289,48 +298,53 @@
                     return True
         return False
 
-    async def _rent(self) -> None:
+    async def _rent_machines(self) -> None:
         """Rent until nothing more is wanted or every pool that would do has refused."""
-        while self.live():
+        while self.is_serving():
             now = self.clock.now()
-            shut = [pool for pool, until in self.blocked.items() if until > now]
-            doubtful, probing = self._doubtful(now)
+            shut = [pool for pool, until in self.refused_until.items() if until > now]
+            doubtful, probing = self._find_unreliable_pools(now)
             shut += probing
             self.planned_at = now
             self.report = PlanReport()
-            needs = self.waiting.needs(self.coming(), self.report)
-            self.work_waits = bool(needs)
+            needs = self.waiting_work.rental_needs(self.upcoming_jobs(), self.report)
+            self.has_waiting_work = bool(needs)
             if needs:
-                closed = [*shut, *self.hires]
-                have, ends = self._have(now)
-                room = self.waiting.headroom(ends)
-                wanted = plan_rent(needs, have, self.flavors, closed, self.boots, self.report, room)
+                closed = [*shut, *self.pending_rentals]
+                have, ends = self._machine_capacities(now)
+                room = self.waiting_work.team_headroom(ends)
+                wanted = plan_rentals(
+                    needs, have, self.flavors, closed, self.boot_times, self.report, room
+                )
                 for pool, planned in wanted.items():
                     count = min(planned, constants.BOOT_PROBES) if pool in doubtful else planned
-                    self.hire_number += 1
-                    self.hires[pool] = (f"h{self.fleet.token}-{self.hire_number}", count)
-            self.plan_took = self.clock.now() - now
-            self._tell(now)
-            if not self.hires:
+                    self.rental_number += 1
+                    self.pending_rentals[pool] = (
+                        f"h{self.fleet.token}-{self.rental_number}",
+                        count,
+                    )
+            self.plan_duration_s = self.clock.now() - now
+            self._log_report(now)
+            if not self.pending_rentals:
                 return
-            for pool, (hire, count) in list(self.hires.items()):
+            for pool, (hire, count) in list(self.pending_rentals.items()):
                 try:
                     names = await self.cloud.rent(hire, pool, count)
-                except Refused:
+                except RentalRefusedError:
                     names = []
-                del self.hires[pool]
+                del self.pending_rentals[pool]
                 what = about(self.fleet.token)
                 log.info("rented %d of %d of %s", len(names), count, pool, extra=what)
                 for name in names:
                     self.fleet.get_or_add(name, *pool).rented_this_term = True
                 if len(names) < count:
-                    self.blocked[pool] = self.clock.now() + constants.REFUSED_S
+                    self.refused_until[pool] = self.clock.now() + constants.REFUSED_S
 
-    def _doubtful(self, now: float) -> tuple[set[Pool], list[Pool]]:
+    def _find_unreliable_pools(self, now: float) -> tuple[set[Pool], list[Pool]]:
         """Pools whose machines do not come up, and those of them that are being tried again."""
         booting: dict[Pool, list[float]] = {}
         for machine in self.fleet.machines.values():
-            if self._boots(machine, now) and not machine.releasing:
+            if self._is_booting(machine, now) and not machine.releasing:
                 pool = (machine.hosttype, machine.site, machine.standby)
                 booting.setdefault(pool, []).append(machine.rented_at)
         doubtful: set[Pool] = set()
@@ -340,17 +354,20 @@
                 (flavor.sku, site, spot) for site in flavor.sites for spot in SPOT_OPTIONS
             ):
                 births = booting.get(pool, [])
-                if not self.boots.doubtful(pool, flavor.bootS, births, now):
+                if not self.boot_times.is_unreliable(pool, flavor.bootS, births, now):
                     continue
                 doubtful.add(pool)
-                if any(not self.boots.late(pool, flavor.bootS, now - born) for born in births):
+                if any(
+                    not self.boot_times.is_overdue(pool, flavor.bootS, now - born)
+                    for born in births
+                ):
                     probing.append(pool)
-        if doubtful != self.doubted:
-            self.doubted = doubtful
+        if doubtful != self.unreliable_pools:
+            self.unreliable_pools = doubtful
             log.info("machines do not come up in time: %s", sorted(doubtful) or "nowhere any more")
         return doubtful, probing
 
-    def _boots(self, machine: Machine, now: float) -> bool:
+    def _is_booting(self, machine: Machine, now: float) -> bool:
         """Whether a machine has yet to come up.
 
         Under a new leader none has reported at first; the old ones are there.
@@ -362,7 +379,7 @@
             and (machine.rented_this_term or now - machine.known_at > constants.BOOT_KNOWN_S)
         )
 
-    def _have(self, now: float) -> tuple[list[Have], dict[Attempt, float]]:
+    def _machine_capacities(self, now: float) -> tuple[list[MachineCapacity], dict[Attempt, float]]:
         """Machines that serve or will: the listed, the booting, not the silent or sick.
 
         And in how many seconds each attempt on them is over; a service's never is by itself.
@@ -375,8 +392,8 @@
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
             boot = 0.0
-            if machine.reported_at is None and self._boots(machine, now):
-                left = self.boots.left(pool, flavor.bootS, now - machine.rented_at)
+            if machine.reported_at is None and self._is_booting(machine, now):
+                left = self.boot_times.remaining_boot_s(pool, flavor.bootS, now - machine.rented_at)
                 if left is None:
                     continue  # what it was rented for must come from elsewhere
                 boot = left
@@ -388,5 +405,5 @@
                 busy.append((ends[attempt], cpus))
             free = max(0, int(flavor.vcpus) - sum(cpus for _, cpus in busy))
             ending = [(at, cpus) for at, cpus in busy if at < NEVER]
-            out.append(Have(pool, [*ending, (boot, free)]))
+            out.append(MachineCapacity(pool, [*ending, (boot, free)]))
         return out, ends
--- a/src/chalkgrade/renting/report.py
+++ b/src/chalkgrade/renting/report.py
@@ -27,13 +27,13 @@
 
     teams: dict[str, TeamPlan] = field(default_factory=dict)
 
-    def of(self, team: str) -> TeamPlan:
+    def team_plan(self, team: str) -> TeamPlan:
         """The figures of a team, made when they are first asked for."""
         return self.teams.setdefault(team, TeamPlan())
 
-    def laid(self, team: str, cpus: float, start: float, patience_s: float) -> None:
+    def add_placed(self, team: str, cpus: float, start: float, patience_s: float) -> None:
         """Tasks were laid on CPUs that come free after `start` seconds."""
-        plan = self.of(team)
+        plan = self.team_plan(team)
         if start <= 0:
             plan.free += cpus
         elif start <= patience_s:
@@ -41,7 +41,7 @@
         else:
             plan.late += cpus
 
-    def line(self) -> str:
+    def format_line(self) -> str:
         """The log's line: teams in order."""
         return "; ".join(
             f"{team}: wants {plan.wanted:g} CPUs; on free {plan.free:g},"
--- a/src/chalkgrade/renting/joint.py
+++ b/src/chalkgrade/renting/subsystem_context.py
@@ -10,11 +10,11 @@
 
 
 @dataclass(frozen=True)
-class Joint:
+class SubsystemContext:
     """One term's domain, its renter, what all gates together say, and a way out."""
 
-    domain: TermContext
+    term_context: TermContext
     renter: Renter
-    able: Callable[[Job, int], int]  # how many of so many tasks gates would let start
-    ties: Callable[[Job], bool]  # whether a gate ties a job to what it has
+    startable_tasks: Callable[[Job, int], int]  # how many of so many tasks gates would let start
+    holds_scarce_resource: Callable[[Job], bool]  # whether a gate ties a job to what it has
     http: Http
--- a/src/chalkgrade/serving/handover.py
+++ b/src/chalkgrade/serving/handover.py
@@ -17,7 +17,7 @@
 from chalkgrade.membership.messages import leader_preference
 from chalkgrade.membership.views import ALIVE, Views
 from chalkgrade.outside import Clock, NoAnswer, Peers
-from chalkgrade.renting.cloud import Cloud
+from chalkgrade.renting.cloud import CloudClient
 from chalkgrade.state.client import NotExecuted, Rejected
 from chalkgrade.state.leadership import Leadership
 
@@ -42,7 +42,7 @@
         peers: Peers,
         views: Views,
         leadership: Leadership,
-        cloud: Cloud,
+        cloud: CloudClient,
         report_s: float,
         machines: Callable[[], int],
     ) -> None:
@@ -65,8 +65,8 @@
                 continue
             cloud = self.cloud
             why = self.fitness.handover_reason(
-                cloud.answered_at,
-                cloud.reached(),
+                cloud.last_response_at,
+                cloud.is_reachable(),
                 self.direct_report_at,
                 self.reporting_machine_count(),
             )
@@ -119,7 +119,7 @@
         try:
             if why == CLOUD:
                 async with asyncio.timeout(constants.SUCCEED_S / 2):
-                    await self.cloud.flavors()
+                    await self.cloud.list_flavors()
             elif why != WORKERS or self.clock.now() - self.direct_report_at > constants.UNFIT_S:
                 return refusal
             offer = await self.leadership.prepare_takeover()
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -21,7 +21,7 @@
 from chalkgrade.membership.views import ALIVE, STATES, Views
 from chalkgrade.outside import Clock, Http, NoAnswer, Peers
 from chalkgrade.record.jobs import SubmissionError, parse_submission
-from chalkgrade.renting.cloud import Cloud
+from chalkgrade.renting.cloud import CloudClient
 from chalkgrade.serving.cancellation_poll import CancellationPoll
 from chalkgrade.serving.handover import Handover
 from chalkgrade.serving.job_api import JobApi
@@ -61,7 +61,7 @@
         self.ledger = LedgerClient(
             http, clock, settings.endpoints.state, cluster.state, member_count
         )
-        self.cloud = Cloud(http, clock, settings.endpoints.cloud, cluster.cloud.rps)
+        self.cloud = CloudClient(http, clock, settings.endpoints.cloud, cluster.cloud.rps)
         grace_s = cluster.workers.cancel_s - cluster.workers.lease_s - constants.LIMBO_MARGIN_S
         self.leadership = Leadership(
             self.ledger,
@@ -183,7 +183,7 @@
                     value = msgspec.json.decode(row.v, type=FlavorsValue)
                     found = value.hosttypes
                 else:
-                    found = await self.cloud.flavors()
+                    found = await self.cloud.list_flavors()
                 if not self.flavors:
                     self.flavors.update({flavor.sku: flavor for flavor in found})
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
@@ -206,7 +206,9 @@
         yield labelled_sample(
             "state_responses", "State service answers", "status", self.ledger.response_counts
         )
-        yield labelled_sample("cloud_responses", "Cloud answers", "status", self.cloud.counts)
+        yield labelled_sample(
+            "cloud_responses", "Cloud answers", "status", self.cloud.response_counts
+        )
         if self.term is not None:
             yield from self.term.samples()
 
@@ -246,7 +248,7 @@
             self.leadership.token if self.leadership.may_act() else 0,
             self.leadership.leader,
             self.ledger.has_recent_answer(),
-            self.cloud.reached(),
+            self.cloud.is_reachable(),
             round(views.max_loop_delay_s(), 3),
             round(self._own_lease_duration_s(), 3),
             self.presence.is_superseded,
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -177,7 +177,7 @@
     assert leader is not None and leader.job_api.term is not None
     world.lose(kind, times)
     for number in range(2, 5):
-        leader.job_api.term.renter.types.mark_changed()  # a persisted value
+        leader.job_api.term.renter.flavor_record.mark_changed()  # a persisted value
         world.spawn(world.user(_short(number), None))
         world.spawn(world.user(_short(number + 3, tasks=3, expectedS=300.0), 8.0))
         await asyncio.sleep(2.0)
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -312,7 +312,7 @@
 ) -> None:
     """Spot machines are left only in the other zone, so on-demand ones must be rented."""
     if bug:
-        monkeypatch.setattr(WaitingWork, "_bound", lambda self, job: job.spec)
+        monkeypatch.setattr(WaitingWork, "_with_bound_zone", lambda self, job: job.spec)
 
     async def story(world: World) -> None:
         spec = _long_job(1, 8) | {"oneZone": True, "expectedS": 300.0, "shape": shape}
--- a/tests/test_placement_rentals.py
+++ b/tests/test_placement_rentals.py
@@ -21,7 +21,7 @@
 )
 from chalkgrade.record.jobs import JobSpec
 from chalkgrade.renting import plan
-from chalkgrade.renting.plan import Have, Need, plan_rent
+from chalkgrade.renting.plan import MachineCapacity, RentalNeed, plan_rentals
 
 SMALL = Flavor("small", 4, 16, ["a", "b"], hourly=0.3, spotPrice=0.1, bootS=30)
 LARGE = Flavor("large", 64, 256, ["a"], hourly=5.0, spotPrice=1.6, bootS=40)
@@ -105,25 +105,27 @@
 
 
 def test_rents_nothing_when_cpus_come_free_in_time() -> None:
-    have = [Have(("small", "a", True), [(5.0, 4)])]
-    assert plan_rent([Need(spec(), 4, 10.0, 20.0)], have, FLAVORS, []) == {}
+    have = [MachineCapacity(("small", "a", True), [(5.0, 4)])]
+    assert plan_rentals([RentalNeed(spec(), 4, 10.0, 20.0)], have, FLAVORS, []) == {}
 
 
 def test_rents_the_cheapest_useful_room() -> None:
     """Four tasks: a small machine for 0.1 beats a large one for 1.6, even if per CPU it is not."""
-    assert plan_rent([Need(spec(), 4, 50.0, 20.0)], [], FLAVORS, []) == {("small", "a", True): 1}
+    assert plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], [], FLAVORS, []) == {
+        ("small", "a", True): 1
+    }
     # Per CPU both cost the same here, but boot time is charged: the sooner one is cheaper.
-    rented = plan_rent([Need(spec(), 64, 50.0, 20.0)], [], FLAVORS, [])
+    rented = plan_rentals([RentalNeed(spec(), 64, 50.0, 20.0)], [], FLAVORS, [])
     assert rented == {("small", "a", True): 16}
 
 
 def test_a_refused_pool_is_passed_over_and_dear_ones_serve_who_would_wait_for_ever() -> None:
     shut = [("small", "a", True), ("small", "b", True), ("large", "a", True)]
-    rented = plan_rent([Need(spec(), 4, 50.0, 20.0)], [], FLAVORS, shut)
+    rented = plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], [], FLAVORS, shut)
     assert rented == {("small", "a", False): 1}
     # Found by a seeded day: a price cap without this left such a job waiting for ever.
-    soon = [Have(("small", "a", True), [(35.0, 4)])]
-    assert plan_rent([Need(spec(), 4, 50.0, 20.0)], soon, FLAVORS, shut) == {}
+    soon = [MachineCapacity(("small", "a", True), [(35.0, 4)])]
+    assert plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], soon, FLAVORS, shut) == {}
 
 
 def test_picking_in_a_row_chooses_what_looking_at_all_machines_each_time_chooses() -> None:
@@ -174,25 +176,33 @@
 def test_a_plan_for_thousands_takes_few_steps(monkeypatch: pytest.MonkeyPatch) -> None:
     """Work per plan grows with the moments at which CPUs come free, not with the tasks."""
     steps = 0
-    plain = plan._Lanes.take
+    plain = plan._CpuTimelines.take_earliest
 
     def counted(self: Any, usable: Any, cpus: int) -> Any:
         nonlocal steps
         steps += 1
         return plain(self, usable, cpus)
 
-    monkeypatch.setattr(plan._Lanes, "take", counted)
-    have = [Have(("small", "a", True), [(float(number % 7), 4)]) for number in range(400)]
-    assert plan_rent([Need(spec(), 8000, 10.0, 1e9)], have, FLAVORS, []) == {}
+    monkeypatch.setattr(plan._CpuTimelines, "take_earliest", counted)
+    have = [
+        MachineCapacity(("small", "a", True), [(float(number % 7), 4)]) for number in range(400)
+    ]
+    assert plan_rentals([RentalNeed(spec(), 8000, 10.0, 1e9)], have, FLAVORS, []) == {}
     assert steps < 100
 
 
 def test_a_gang_that_the_machines_can_only_run_in_turns_gets_more() -> None:
     """Found by real processes: short tasks seemed to come free in time, one after the other."""
-    have = [Have(("small", "a", True), [(0.0, 4)])]
+    have = [MachineCapacity(("small", "a", True), [(0.0, 4)])]
     gang = spec(shape="gang", tasks=3, vcpus=2.0, pullGb=0.0)
-    assert plan_rent([Need(gang, 3, 2.0, 10.0)], have, FLAVORS, []) == {("small", "a", True): 1}
-    assert plan_rent([Need(spec(tasks=3, vcpus=2.0), 3, 2.0, 10.0)], have, FLAVORS, []) == {}
+    assert plan_rentals([RentalNeed(gang, 3, 2.0, 10.0)], have, FLAVORS, []) == {
+        ("small", "a", True): 1
+    }
+    assert (
+        plan_rentals([RentalNeed(spec(tasks=3, vcpus=2.0), 3, 2.0, 10.0)], have, FLAVORS, []) == {}
+    )
     # Fifteen CPUs are there, but a machine of four takes one task of three.
     wide = spec(shape="gang", tasks=5, vcpus=3.0)
-    assert plan_rent([Need(wide, 5, 2.0, 10.0)], have * 4, FLAVORS, []) == {("small", "a", True): 1}
+    assert plan_rentals([RentalNeed(wide, 5, 2.0, 10.0)], have * 4, FLAVORS, []) == {
+        ("small", "a", True): 1
+    }
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -16,7 +16,7 @@
 from chalkgrade.record.oplog import LOG_PREFIX
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
-from chalkgrade.renting.cloud import Cloud
+from chalkgrade.renting.cloud import CloudClient
 from chalkgrade.renting.renter import Renter
 from test_gap import _long_job
 from test_membership import _check_single_leader, _wait_until
@@ -133,12 +133,12 @@
 
 def _names_without_token(patch: Patch) -> None:
     """A hire's name is used again by the next leader."""
-    plain = Cloud.rent
+    plain = CloudClient.rent
 
-    async def rent(self: Cloud, hire: str, pool: Any, count: int) -> list[str]:
+    async def rent(self: CloudClient, hire: str, pool: Any, count: int) -> list[str]:
         return await plain(self, hire.rpartition("-")[2], pool, count)
 
-    patch.setattr(Cloud, "rent", rent)
+    patch.setattr(CloudClient, "rent", rent)
 
 
 def _only_its_own(patch: Patch) -> None:
@@ -153,7 +153,7 @@
         pass
 
     patch.setattr(Fleet, "accept_report", take)
-    patch.setattr(Renter, "_refresh_list", refresh)
+    patch.setattr(Renter, "_refresh_machines", refresh)
 
 
 def _launched_before_it_is_durable(patch: Patch) -> None:
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -21,8 +21,8 @@
 from msgspec.structs import replace
 
 from chalkgrade.machines.placement import Occupant, Slot, select_victims
-from chalkgrade.renting.headroom import NEVER, Headroom, Lane
-from chalkgrade.renting.plan import Have, Need, plan_rent
+from chalkgrade.renting.headroom import NEVER, CapacityTimeline, Headroom
+from chalkgrade.renting.plan import MachineCapacity, RentalNeed, plan_rentals
 from chalkgrade.renting.report import PlanReport
 from chalkgrade.sharing.preemption import Preemptor
 from test_halves import _play, _sixfold
@@ -32,21 +32,23 @@
 RUN_S = 12.0
 
 
-def _needs(tasks: int = 1000, patience_s: float = 10.0, **changes: Any) -> list[Need]:
-    return [Need(spec(owner="red", tasks=tasks, **changes), tasks, RUN_S, patience_s)]
+def _needs(tasks: int = 1000, patience_s: float = 10.0, **changes: Any) -> list[RentalNeed]:
+    return [RentalNeed(spec(owner="red", tasks=tasks, **changes), tasks, RUN_S, patience_s)]
 
 
-def _busy(cpus: int) -> tuple[list[Have], list[tuple[float, float]]]:
+def _busy(cpus: int) -> tuple[list[MachineCapacity], list[tuple[float, float]]]:
     """Machines of four CPUs whose tasks of one CPU end one after the other."""
     ends = [RUN_S * number / cpus for number in range(cpus)]
-    have = [Have(POOL, [(end, 1) for end in ends[at : at + 4]]) for at in range(0, cpus, 4)]
+    have = [
+        MachineCapacity(POOL, [(end, 1) for end in ends[at : at + 4]]) for at in range(0, cpus, 4)
+    ]
     return have, [(end, 1.0) for end in ends]
 
 
-def _rented(cpus: int, maximum: float, needs: list[Need] | None = None) -> int:
+def _rented(cpus: int, maximum: float, needs: list[RentalNeed] | None = None) -> int:
     have, ends = _busy(cpus)
-    room = {"red": Headroom(Lane(maximum, ends))}
-    return sum(plan_rent(needs or _needs(), have, FLAVORS, [], headroom=room).values())
+    room = {"red": Headroom(CapacityTimeline(maximum, ends))}
+    return sum(plan_rentals(needs or _needs(), have, FLAVORS, [], headroom=room).values())
 
 
 def test_what_a_maximum_leaves_is_rented_for_beside_tasks_that_end() -> None:
@@ -68,8 +70,8 @@
     have, ends = _busy(120)
     needs = _needs(gpus=1.0)
     flavors = {name: replace(flavor, gpus=flavor.vcpus) for name, flavor in FLAVORS.items()}
-    room = {"red": Headroom(Lane(1000.0, ends), Lane(128.0, ends))}
-    assert sum(plan_rent(needs, have, flavors, [], headroom=room).values()) == 2
+    room = {"red": Headroom(CapacityTimeline(1000.0, ends), CapacityTimeline(128.0, ends))}
+    assert sum(plan_rentals(needs, have, flavors, [], headroom=room).values()) == 2
 
 
 def test_a_gang_larger_than_its_teams_maximum_gets_no_machine() -> None:
@@ -85,19 +87,19 @@
         busy = [(rng.randrange(20) * 0.5, float(rng.randrange(1, 4))) for _ in range(10)]
         busy.append((NEVER, 2.0))
         limit = float(rng.randrange(0, 40))
-        lane = Lane(limit, busy)
+        lane = CapacityTimeline(limit, busy)
         used = 0.0
         for _ in range(8):
             held = {at: limit - sum(a for end, a in busy if end > at) - used for at in range(12)}
             for at, free in held.items():
-                assert math.isclose(lane.free(at), max(0.0, free), abs_tol=1e-6)
+                assert math.isclose(lane.free_by(at), max(0.0, free), abs_tol=1e-6)
             amount = float(rng.randrange(1, 5))
-            start = lane.start(amount, 11.0)
+            start = lane.earliest_start(amount, 11.0)
             plain = next((at for at, free in held.items() if free >= amount), NEVER)
             assert plain == (NEVER if start == NEVER else math.ceil(start))
             if start == NEVER:
                 break
-            lane.take(amount)
+            lane.consume(amount)
             used += amount
 
 
@@ -143,12 +145,12 @@
 def test_a_plan_says_what_it_did_for_a_team() -> None:
     """The line by which the fault was found."""
     report, (have, ends) = PlanReport(), _busy(8)
-    room = {"red": Headroom(Lane(12.0, ends))}
-    plan_rent(_needs(), have, FLAVORS, [], None, report, room)
-    assert "rented 4" in report.line()
+    room = {"red": Headroom(CapacityTimeline(12.0, ends))}
+    plan_rentals(_needs(), have, FLAVORS, [], None, report, room)
+    assert "rented 4" in report.format_line()
     (sample,) = report.samples()
     assert sample.values["red", "rented"] == 4.0
-    assert report.of("red").soon > 0
+    assert report.team_plan("red").soon > 0
 
 
 class _Floor:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -12,8 +12,8 @@
 from chalkgrade.record.jobs import Job, JobValue
 from chalkgrade.record.oplog import INTERRUPTED, Op, OpLog
 from chalkgrade.region.world import World, tell
-from chalkgrade.renting.boots import Boots
-from chalkgrade.renting.plan import Need, plan_rent
+from chalkgrade.renting.boot_times import BootTimes
+from chalkgrade.renting.plan import RentalNeed, plan_rentals
 from chalkgrade.serving.node import Node
 from chalkgrade.sharing import wait_reasons
 from chalkgrade.sharing.bopf import QueueDemand, QueueKind, allocate, spare_capacity_order
@@ -339,35 +339,35 @@
 
 
 def test_boot_times_follow_what_was_seen_and_late_machines_are_not_counted_on() -> None:
-    boots = Boots()
-    assert boots.left(POOL, 30.0, 10.0) == 20.0
-    assert boots.left(POOL, 30.0, 40.0) == 10.0
-    assert boots.left(POOL, 30.0, 60.0) is None
+    boots = BootTimes()
+    assert boots.remaining_boot_s(POOL, 30.0, 10.0) == 20.0
+    assert boots.remaining_boot_s(POOL, 30.0, 40.0) == 10.0
+    assert boots.remaining_boot_s(POOL, 30.0, 60.0) is None
     for _ in range(40):
-        boots.came(POOL, 0.0, 3.0, 30.0)
-    assert 2.9 < boots.expected(POOL, 30.0) < 3.5
+        boots.record_boot(POOL, 0.0, 3.0, 30.0)
+    assert 2.9 < boots.expected_boot_s(POOL, 30.0) < 3.5
     for _ in range(60):
-        boots.came(POOL, 0.0, 90.0, 30.0)
-    assert boots.left(POOL, 30.0, 60.0) is not None
+        boots.record_boot(POOL, 0.0, 90.0, 30.0)
+    assert boots.remaining_boot_s(POOL, 30.0, 60.0) is not None
 
 
 def test_a_pool_whose_machines_do_not_come_up_is_doubted_until_one_does() -> None:
-    boots = Boots()
+    boots = BootTimes()
     births = [0.0, 1.0, 2.0]
-    assert not boots.doubtful(POOL, 30.0, births, 30.0)
-    assert boots.doubtful(POOL, 30.0, births, 80.0)
+    assert not boots.is_unreliable(POOL, 30.0, births, 30.0)
+    assert boots.is_unreliable(POOL, 30.0, births, 80.0)
     for born in births:
-        boots.lost(POOL, born)
-    assert boots.doubtful(POOL, 30.0, [], 100.0)  # returned, and still they speak against it
-    boots.came(POOL, 70.0, 101.0, 30.0)
-    assert not boots.doubtful(POOL, 30.0, [], 101.0)
-    assert not Boots().doubtful(POOL, 30.0, [], 1e9)
+        boots.record_failed_boot(POOL, born)
+    assert boots.is_unreliable(POOL, 30.0, [], 100.0)  # returned, and still they speak against it
+    boots.record_boot(POOL, 70.0, 101.0, 30.0)
+    assert not boots.is_unreliable(POOL, 30.0, [], 101.0)
+    assert not BootTimes().is_unreliable(POOL, 30.0, [], 1e9)
 
 
 def test_quick_boots_are_rented_for_short_waits() -> None:
-    boots, need = Boots(), [Need(spec(), 4, 10.0, 2.0)]
+    boots, need = BootTimes(), [RentalNeed(spec(), 4, 10.0, 2.0)]
     have: list[Any] = []
-    assert plan_rent(need, have, FLAVORS, [], boots) == {POOL: 1}
+    assert plan_rentals(need, have, FLAVORS, [], boots) == {POOL: 1}
 
 
 def test_every_waiting_task_has_a_reason() -> None:
