--- a/src/chalkgrade/renting/__init__.py
+++ b/src/chalkgrade/renting/__init__.py
@@ -1,5 +1,5 @@
-"""Machines wanted against machines there.
+"""Renting and returning cloud machines to match the waiting work.
 
-Ask `plan` (pure) what to rent, `cloud` for the calls, `boots` when a machine will be up,
-`renter` for the loop that works off the difference and returns what nobody needs.
+`plan` decides what to rent (without I/O), `cloud` makes the calls, `boot_times` predicts when a
+machine will report, and `renter` runs the loop that rents missing machines and returns idle ones.
 """
--- a/src/chalkgrade/renting/boot_times.py
+++ b/src/chalkgrade/renting/boot_times.py
@@ -1,4 +1,4 @@
-"""What has been seen of machines coming up. Pure."""
+"""Observed boot times of rented machines, by pool. Does no I/O."""
 
 from collections.abc import Iterable
 
@@ -7,38 +7,43 @@
 
 
 class BootTimes:
-    """What has been seen of each pool's machines coming up.
+    """Predicts the boot times of each pool's machines from observed boots.
 
-    Machines can take several times their type's boot time, be up at once, or
-    never come. Times are by the leader's own clock.
+    A machine may take several times its flavor's nominal boot time, be up at once, or
+    never report. Times are in seconds of the leader's own clock.
     """
 
     def __init__(self) -> None:
-        self._boot_ratio: dict[Pool, float] = {}  # observed boot time over the type's, smoothed
-        self._last_success_rented_at: dict[
-            Pool, float
-        ] = {}  # the latest birth of a machine that came up
-        self._failed_rented_at: dict[Pool, list[float]] = {}  # births of machines that never came
-
-    def record_boot(self, pool: Pool, born: float, now: float, nominal: float) -> None:
-        """A machine reports for the first time."""
-        seen = min(constants.BOOT_RATIO_MAX, max(0.0, now - born) / max(nominal, 1e-6))
+        self._boot_ratio: dict[Pool, float] = {}  # observed / nominal boot time, smoothed
+        # The latest rental time of a machine that reported.
+        self._last_success_rented_at: dict[Pool, float] = {}
+        # Rental times of machines that never reported.
+        self._failed_rented_at: dict[Pool, list[float]] = {}
+
+    def record_boot(self, pool: Pool, rented_at: float, now: float, nominal_s: float) -> None:
+        """Records the first report of a machine."""
+        ratio = min(constants.BOOT_RATIO_MAX, max(0.0, now - rented_at) / max(nominal_s, 1e-6))
         old = self._boot_ratio.get(pool, 1.0)
-        self._boot_ratio[pool] = old + constants.BOOT_ALPHA * (seen - old)
-        self._last_success_rented_at[pool] = max(born, self._last_success_rented_at.get(pool, born))
+        self._boot_ratio[pool] = old + constants.BOOT_ALPHA * (ratio - old)
+        self._last_success_rented_at[pool] = max(
+            rented_at, self._last_success_rented_at.get(pool, rented_at)
+        )
 
-    def record_failed_boot(self, pool: Pool, born: float) -> None:
-        """A machine was returned since it never came."""
-        self._failed_rented_at.setdefault(pool, []).append(born)
+    def record_failed_boot(self, pool: Pool, rented_at: float) -> None:
+        """Records that a machine was returned because it never reported."""
+        self._failed_rented_at.setdefault(pool, []).append(rented_at)
 
     def export_history(
         self, shift: float
     ) -> tuple[list[tuple[Pool, float]], list[tuple[Pool, list[float]]]]:
-        """For the next leader: ratios, and births by time of day of machines that never came."""
-        lost = [
-            (pool, [at + shift for at in births]) for pool, births in self._failed_rented_at.items()
+        """Returns boot ratios and the rental times of machines that never reported.
+
+        They are passed to the next leader; `shift` converts times to wall-clock seconds.
+        """
+        failed = [
+            (pool, [at + shift for at in times]) for pool, times in self._failed_rented_at.items()
         ]
-        return list(self._boot_ratio.items()), [(pool, births) for pool, births in lost if births]
+        return list(self._boot_ratio.items()), [(pool, times) for pool, times in failed if times]
 
     def import_history(
         self,
@@ -46,37 +51,43 @@
         never: list[tuple[Pool, list[float]]],
         shift: float,
     ) -> None:
-        """What the last leader told, within the bounds of what can be seen."""
+        """Takes over the previous leader's history, with ratios limited to the valid range.
+
+        `shift` converts wall-clock times to this leader's clock.
+        """
         for pool, ratio in ratios:
             self._boot_ratio[pool] = min(constants.BOOT_RATIO_MAX, max(0.0, ratio))
-        for pool, births in never:
-            self._failed_rented_at[pool] = [at + shift for at in births]
+        for pool, times in never:
+            self._failed_rented_at[pool] = [at + shift for at in times]
 
-    def expected_boot_s(self, pool: Pool, nominal: float) -> float:
-        """How long a machine rented now will take."""
-        return max(constants.BOOT_LEAST_S, nominal * self._boot_ratio.get(pool, 1.0))
+    def expected_boot_s(self, pool: Pool, nominal_s: float) -> float:
+        """Returns the expected boot time in seconds of a machine rented now."""
+        return max(constants.BOOT_LEAST_S, nominal_s * self._boot_ratio.get(pool, 1.0))
 
-    def is_overdue(self, pool: Pool, nominal: float, age: float) -> bool:
-        return age > constants.BOOT_LATE * max(self.expected_boot_s(pool, nominal), nominal)
+    def is_overdue(self, pool: Pool, nominal_s: float, age_s: float) -> bool:
+        """Whether a booting machine is so late that plans must not rely on it."""
+        return age_s > constants.BOOT_LATE * max(self.expected_boot_s(pool, nominal_s), nominal_s)
 
-    def remaining_boot_s(self, pool: Pool, nominal: float, age: float) -> float | None:
-        """How long a booting machine will still take; None: it is not to be counted on.
+    def remaining_boot_s(self, pool: Pool, nominal_s: float, age_s: float) -> float | None:
+        """Returns the expected remaining boot time in seconds, None for an overdue machine.
 
-        One that is past its time has no better prospect than to take a part of
-        its age again.
+        A machine past its expected boot time is assumed to need another quarter of its age.
         """
-        if self.is_overdue(pool, nominal, age):
+        if self.is_overdue(pool, nominal_s, age_s):
             return None
-        return max(constants.BOOT_LEAST_S, self.expected_boot_s(pool, nominal) - age, age / 4)
+        return max(constants.BOOT_LEAST_S, self.expected_boot_s(pool, nominal_s) - age_s, age_s / 4)
 
     def is_unreliable(
-        self, pool: Pool, nominal: float, booting: Iterable[float], now: float
+        self, pool: Pool, nominal_s: float, booting: Iterable[float], now: float
     ) -> bool:
-        """Whether a pool's machines do not come up: several late ones, and none since."""
-        proof = self._last_success_rented_at.get(pool, -1e18)
-        births = [born for born in booting if self.is_overdue(pool, nominal, now - born)]
+        """Whether several machines of a pool are overdue or failed to boot, and no newer one is up.
+
+        `booting` holds the rental times of the pool's machines that have not reported yet.
+        """
+        last_success = self._last_success_rented_at.get(pool, -1e18)
+        overdue = [at for at in booting if self.is_overdue(pool, nominal_s, now - at)]
         recent = [
-            b for b in self._failed_rented_at.get(pool, ()) if now - b < constants.BOOT_DOUBT_S
+            at for at in self._failed_rented_at.get(pool, ()) if now - at < constants.BOOT_DOUBT_S
         ]
         self._failed_rented_at[pool] = recent
-        return sum(born > proof for born in [*births, *recent]) >= constants.BOOT_DOUBTS
+        return sum(at > last_success for at in [*overdue, *recent]) >= constants.BOOT_DOUBTS
--- a/src/chalkgrade/renting/cloud.py
+++ b/src/chalkgrade/renting/cloud.py
@@ -1,7 +1,7 @@
-"""The cloud's calls, within this node's part of the call budget.
+"""Client of the cloud provider's API, limited to this node's share of the call budget.
 
-A hire name carries the leader's token, so no name is ever used twice; a hire
-without an answer is repeated under the same name, which rents nothing new.
+The name of a rental request carries the leader's token, so no name is used twice by different
+leaders. A request without an answer is repeated under the same name, which rents nothing new.
 """
 
 from typing import Any, Literal
@@ -14,6 +14,8 @@
 
 
 class ListedMachine(msgspec.Struct):
+    """One machine in the cloud's list of rented machines."""
+
     nameId: str
     hosttype: str
     site: str
@@ -24,36 +26,45 @@
 
 
 class FlavorList(msgspec.Struct):
+    """Answer of the cloud with all machine flavors."""
+
     hosttypes: list[Flavor]
 
 
 class RentedHosts(msgspec.Struct):
+    """Answer to a rental request: the names of the rented machines."""
+
     hosts: list[str]
 
 
 class MachineList(msgspec.Struct):
+    """One page of the cloud's list of rented machines; `more`: another page follows."""
+
     hosts: list[ListedMachine]
     more: bool = False
 
 
 class RentalRefusedError(Exception):
-    """No capacity in that pool now."""
+    """The pool has no capacity now, or the cloud rejected the request as invalid."""
 
 
 class CloudClient:
-    """The calls to the cloud, within this node's part of the call budget."""
+    """Calls the cloud provider's API within this node's share of the call budget.
+
+    Calls raise `NoAnswer` if the cloud does not answer or reports an unexpected status.
+    """
 
     def __init__(self, http: Http, clock: Clock, addr: str, rps: float) -> None:
         self._http = http
         self._clock = clock
         self._addr = addr
-        # Only the leader calls regularly; followers read the flavors once at their start.
+        # Only the leader calls regularly; followers read the flavors once when they start.
         self.call_bucket = Bucket(clock, rps * 0.8, rps)
         self.response_counts: dict[str, int] = {}
         self.last_response_at = self.last_failure_at = -1e9
 
     def is_reachable(self) -> bool | None:
-        """Whether the last call was answered at all; None when there was none lately."""
+        """Whether the last call got an answer; None without a call in the last `REACHED_S` s."""
         last = max(self.last_response_at, self.last_failure_at)
         if self._clock.now() - last > constants.REACHED_S:
             return None
@@ -74,31 +85,36 @@
         return reply
 
     async def list_flavors(self) -> list[Flavor]:
+        """Returns all machine flavors with their current prices."""
         status, data = await self._call("GET", "/flavors")
         if status != 200:
-            raise NoAnswer(f"flavors: status {status}")
+            raise NoAnswer(f"GET /flavors failed: status {status}")
         return decode(data, FlavorList).hosttypes
 
     async def list_machines(self) -> tuple[list[ListedMachine], float]:
-        """All machines, and when the list was asked for."""
-        asked = self._clock.now()
+        """Returns all rented machines and the time when the list was requested."""
+        requested_at = self._clock.now()
         rows: list[ListedMachine] = []
         after = ""
         while True:
             path = "/rentals?page=500" + (f"&after={after}" if after else "")
             status, data = await self._call("GET", path)
             if status != 200:
-                raise NoAnswer(f"list: status {status}")
+                raise NoAnswer(f"GET /rentals failed: status {status}")
             page = decode(data, MachineList)
             rows += page.hosts
             if not page.more or not page.hosts:
-                return rows, asked
+                return rows, requested_at
             after = page.hosts[-1].nameId
 
-    async def rent(self, hire: str, pool: Pool, count: int) -> list[str]:
+    async def rent(self, request_name: str, pool: Pool, count: int) -> list[str]:
+        """Rents up to `count` machines of a pool and returns their names.
+
+        Raises `RentalRefusedError` if the pool has no capacity or the request is invalid.
+        """
         hosttype, site, standby = pool
         body = {
-            "hire": hire,
+            "hire": request_name,
             "hosttype": hosttype,
             "site": site,
             "standby": standby,
@@ -110,11 +126,11 @@
         if status == 503 and b"no capacity" in data:
             raise RentalRefusedError
         if status == 400:
-            raise RentalRefusedError  # asking again for the same can't help
-        raise NoAnswer(f"rent: status {status}")
+            raise RentalRefusedError  # an invalid request would fail again
+        raise NoAnswer(f"POST /rentals failed: status {status}")
 
     async def release(self, names: list[str]) -> None:
-        """Return machines; without an exception they and all on them are gone."""
+        """Returns machines to the cloud; on success they and everything on them are gone."""
         status, _ = await self._call("POST", "/rentals/release", {"hosts": names})
         if status != 200:
-            raise NoAnswer(f"release: status {status}")
+            raise NoAnswer(f"POST /rentals/release failed: status {status}")
--- a/src/chalkgrade/renting/headroom.py
+++ b/src/chalkgrade/renting/headroom.py
@@ -1,9 +1,10 @@
-"""What the teams' maxima let start, and when: their side of a rental plan.
+"""When teams at their resource limits may start further tasks, for rental plans.
 
-A team at its maximum goes on starting tasks, one for each that ends. Counted by what its maximum
-leaves at this moment, those tasks are not there, while the CPUs of the ones that end are: a plan
-then lays the little that may start now on CPUs that others of the same team are about to take,
-and rents nothing for it (see docs/incidents/2026-12-03-team-at-its-maximum.md).
+A team at its limit starts another task whenever one ends. A plan that counted only what the
+limit leaves at this moment would ignore those future tasks but count the CPUs that the ending
+tasks release. It would then place the few tasks that may start now on CPUs that other tasks of
+the same team are about to use, and rent nothing for them
+(see docs/incidents/2026-12-03-team-at-its-maximum.md).
 """
 
 import heapq
@@ -18,25 +19,25 @@
 NEVER = math.inf
 
 
-def round_up_to_step(free_in: float) -> float:
-    """The moment of a plan at which something is counted as free."""
-    return math.ceil(free_in / constants.PLAN_STEP_S) * constants.PLAN_STEP_S
+def round_up_to_step(free_in_s: float) -> float:
+    """Rounds a time in seconds from now up to the plan's time step."""
+    return math.ceil(free_in_s / constants.PLAN_STEP_S) * constants.PLAN_STEP_S
 
 
 class CapacityTimeline:
-    """One resource under a maximum: how much of it comes free when.
+    """How much of one limited resource becomes free at which time, in seconds from now.
 
-    `busy`: in how many seconds (`NEVER`: not by itself), and how much. What a team holds beyond
-    its maximum is given up first.
+    `busy` lists the amounts in use and in how many seconds each is released (`NEVER`: not by
+    itself). What a team uses beyond its limit is deducted from the earliest releases.
     """
 
     def __init__(self, limit: float, busy: Iterable[tuple[float, float]]) -> None:
         amounts: dict[float, float] = defaultdict(float)
         spare = limit
-        for free_in, amount in busy:
+        for free_in_s, amount in busy:
             spare -= amount
-            if free_in < NEVER:
-                amounts[round_up_to_step(max(0.0, free_in))] += amount
+            if free_in_s < NEVER:
+                amounts[round_up_to_step(max(0.0, free_in_s))] += amount
         self._heap = sorted(amounts.items())
         if spare > 0:
             heapq.heappush(self._heap, (0.0, spare))
@@ -44,35 +45,35 @@
             self.consume(-spare)
 
     def earliest_start(self, amount: float, within_s: float) -> float:
-        """When so much will be free, `NEVER` if not within the time."""
+        """Returns when `amount` will be free, `NEVER` if that is later than `within_s`."""
         total = 0.0
         if not self._heap or self._heap[0][0] > within_s:
             return NEVER
-        for free_in, part in sorted(self._heap):
+        for free_in_s, part in sorted(self._heap):
             total += part
             if total >= amount - EPS:
-                return free_in if free_in <= within_s else NEVER
+                return free_in_s if free_in_s <= within_s else NEVER
         return NEVER
 
     def free_by(self, by_s: float) -> float:
-        """How much is free by then."""
-        return sum(part for free_in, part in self._heap if free_in <= by_s)
+        """Returns how much is free in `by_s` seconds."""
+        return sum(part for free_in_s, part in self._heap if free_in_s <= by_s)
 
     def consume(self, amount: float) -> None:
-        """Use so much of what comes free first."""
+        """Uses up `amount` of what becomes free first."""
         while amount > EPS and self._heap:
-            free_in, part = heapq.heappop(self._heap)
+            free_in_s, part = heapq.heappop(self._heap)
             if part > amount + EPS:
-                heapq.heappush(self._heap, (free_in, part - amount))
+                heapq.heappush(self._heap, (free_in_s, part - amount))
             amount -= part
 
-    def add_release(self, free_in: float, amount: float) -> None:
-        """So much comes free then."""
-        heapq.heappush(self._heap, (round_up_to_step(free_in), amount))
+    def add_release(self, free_in_s: float, amount: float) -> None:
+        """Adds an amount that becomes free in `free_in_s` seconds."""
+        heapq.heappush(self._heap, (round_up_to_step(free_in_s), amount))
 
 
 class Headroom:
-    """What a team may start under its maxima for CPUs and GPUs."""
+    """What a team may start under its limits for CPUs and GPUs; None means no limit."""
 
     def __init__(
         self, cpus: CapacityTimeline | None = None, gpus: CapacityTimeline | None = None
@@ -80,27 +81,31 @@
         self._cpus, self._gpus = cpus, gpus
 
     def _timelines(self, spec: JobSpec) -> list[tuple[CapacityTimeline, float]]:
+        """The limited resources that a task of the job uses, and how much of each."""
         found = ((self._cpus, spec.vcpus), (self._gpus, spec.gpus))
-        return [(lane, need) for lane, need in found if lane is not None and need > 0]
+        return [(timeline, need) for timeline, need in found if timeline is not None and need > 0]
 
     def earliest_start(self, spec: JobSpec, tasks: int, within_s: float) -> float:
-        """When so many tasks may start together, `NEVER` if not within the time."""
+        """Returns when `tasks` tasks may start together, `NEVER` if later than `within_s`."""
         starts = (
-            lane.earliest_start(tasks * need, within_s) for lane, need in self._timelines(spec)
+            timeline.earliest_start(tasks * need, within_s)
+            for timeline, need in self._timelines(spec)
         )
         return max(starts, default=0.0)
 
-    def startable_tasks(self, spec: JobSpec, most: int, by_s: float) -> int:
-        """How many tasks, `most` at most, may start by then."""
-        rooms = (int((lane.free_by(by_s) + EPS) / need) for lane, need in self._timelines(spec))
-        return min(most, min(rooms, default=most))
+    def startable_tasks(self, spec: JobSpec, max_tasks: int, by_s: float) -> int:
+        """Returns how many tasks, up to `max_tasks`, may start within `by_s` seconds."""
+        counts = (
+            int((timeline.free_by(by_s) + EPS) / need) for timeline, need in self._timelines(spec)
+        )
+        return min(max_tasks, min(counts, default=max_tasks))
 
     def consume(self, spec: JobSpec, tasks: int) -> None:
-        """So many tasks use what comes free first."""
-        for lane, need in self._timelines(spec):
-            lane.consume(tasks * need)
-
-    def add_release(self, spec: JobSpec, tasks: int, free_in: float) -> None:
-        """So many tasks are over then."""
-        for lane, need in self._timelines(spec):
-            lane.add_release(free_in, tasks * need)
+        """Lets `tasks` tasks use what becomes free first."""
+        for timeline, need in self._timelines(spec):
+            timeline.consume(tasks * need)
+
+    def add_release(self, spec: JobSpec, tasks: int, free_in_s: float) -> None:
+        """Adds what `tasks` tasks release when they end in `free_in_s` seconds."""
+        for timeline, need in self._timelines(spec):
+            timeline.add_release(free_in_s, tasks * need)
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -1,4 +1,4 @@
-"""Which waiting work machines are to be there for, in the order in which it would start."""
+"""Selects the waiting work that machines are rented for, in scheduling order."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -13,7 +13,7 @@
 
 
 def _has_same_requirements(one: JobSpec, other: JobSpec) -> bool:
-    """Whether the same machines serve both alike."""
+    """Whether two jobs can be planned as one: same team, requirements and task count."""
     return all(
         getattr(one, name) == getattr(other, name)
         for name in (
@@ -30,46 +30,53 @@
 
 
 def _timeline(limit: float, busy: Iterable[tuple[float, float]]) -> CapacityTimeline | None:
+    """Timeline of a limited resource; a limit of zero means no limit."""
     return CapacityTimeline(limit, busy) if limit else None
 
 
 class WaitingWork:
-    """The leader's waiting jobs as the needs of a rental plan."""
-
-    def __init__(self, domain: TermContext, able: Callable[[Job, int], int]) -> None:
-        self._settings = domain.context.settings
-        self._registry = domain.registry
-        self._fleet = domain.fleet
-        self._queues = domain.queues
-        self._flavors = domain.flavors
-        self._startable_tasks = (
-            able  # how many waiting tasks could start, as far as gates are concerned
-        )
+    """Turns the leader's waiting jobs into the needs of a rental plan."""
+
+    def __init__(
+        self, term_context: TermContext, startable_tasks: Callable[[Job, int], int]
+    ) -> None:
+        self._settings = term_context.context.settings
+        self._registry = term_context.registry
+        self._fleet = term_context.fleet
+        self._queues = term_context.queues
+        self._flavors = term_context.flavors
+        # How many of so many waiting tasks the start constraints would let start.
+        self._startable_tasks = startable_tasks
 
     def rental_needs(
-        self, coming: Iterable[tuple[Job, float]], report: PlanReport
+        self, upcoming: Iterable[tuple[Job, float]], report: PlanReport
     ) -> list[RentalNeed]:
-        """Waiting work; `coming`: jobs, and in how many s they may run."""
-        out: list[RentalNeed] = []
+        """Returns the needs of waiting jobs, then those of jobs that may run soon.
+
+        `upcoming` holds jobs that wait for others, and in how many seconds they may run. The
+        CPUs that waiting tasks want are added to `report`.
+        """
+        needs: list[RentalNeed] = []
         jobs = [job for job in self._registry.jobs.values() if not job.is_blocked]
         for job in sorted(jobs, key=self._queues.scheduling_key):
-            # A faulty job, or one without seats, gets no more machines than it may use.
+            # A faulty job, or one without licence seats, gets no more machines than it may use.
             tasks = self._startable_tasks(job, job.startable_count)
             if job.aborted or job.aborting or not tasks:
                 continue
             spec = self._with_bound_zone(job)
             report.team_plan(spec.owner).wanted += tasks * spec.vcpus
             self._merge_or_append(
-                out,
+                needs,
                 RentalNeed(spec, tasks, self._queues.expected_run_s(job), self._patience_s(job)),
             )
-        return out + list(self._upcoming_needs(coming))
+        return needs + list(self._upcoming_needs(upcoming))
 
     def team_headroom(self, ends: Mapping[Attempt, float]) -> dict[str, Headroom]:
-        """What the maxima of the teams that have some leave, now and as running tasks end.
+        """Returns what each team with a limit may start, now and as its running tasks end.
 
-        `ends`: in how many seconds; what is not there (its machine is silent, or no more to be
-        counted on) counts against the maximum until the machine is heard of or surely gone.
+        `ends` holds in how many seconds each attempt ends. An attempt that is missing there (its
+        machine is silent, or plans must not rely on it) counts against the limit until the
+        machine reports again or is known to be gone.
         """
         limited = {team.name: team for team in self._settings.cluster.teams}
         limited = {name: team for name, team in limited.items() if team.cpus_max or team.gpus_max}
@@ -87,28 +94,32 @@
         }
 
     def _patience_s(self, job: Job) -> float:
+        """How long the job's tasks may wait before a machine is rented for them."""
         guest = self._queues.is_best_effort(job)
         patience = constants.GUEST_PATIENCE_S if guest else constants.PATIENCE_S
         return min(patience, max(0.0, self._queues.slack_s(job)))
 
-    def _merge_or_append(self, out: list[RentalNeed], need: RentalNeed) -> None:
-        """A thousand jobs of one task each are planned as one of a thousand."""
-        last = out[-1] if out else None
+    def _merge_or_append(self, needs: list[RentalNeed], need: RentalNeed) -> None:
+        """Merges a need into the previous one if their jobs are alike.
+
+        A thousand jobs of one task each are planned as one job of a thousand tasks.
+        """
+        last = needs[-1] if needs else None
         if (
             last is None
             or last.spec.shape == "gang"
             or not _has_same_requirements(last.spec, need.spec)
         ):
-            out.append(need)
+            needs.append(need)
             return
         last.run_s += (need.run_s - last.run_s) * need.tasks / (last.tasks + need.tasks)
         last.tasks += need.tasks
         last.patience_s = min(last.patience_s, need.patience_s)
 
-    def _upcoming_needs(self, coming: Iterable[tuple[Job, float]]) -> Iterable[RentalNeed]:
-        """Jobs that may run before a machine that is rented then would be up."""
+    def _upcoming_needs(self, upcoming: Iterable[tuple[Job, float]]) -> Iterable[RentalNeed]:
+        """Needs of jobs that may run before a machine rented for them now would have booted."""
         boot_s = min((flavor.bootS for flavor in self._flavors.values()), default=0.0)
-        for job, in_s in coming:
+        for job, in_s in upcoming:
             if in_s <= boot_s:
                 patience = in_s + constants.PATIENCE_S
                 yield RentalNeed(
@@ -116,16 +127,17 @@
                 )
 
     def _with_bound_zone(self, job: Job) -> JobSpec:
-        """What a job asks for, and the zone that its live tasks bind it to.
+        """Returns the job's spec with the zone that its live tasks bind it to.
 
-        Found when a zone lost most of its machines: the cheapest resources was rented in the other
-        one, where no task of the job may go, and counted as free for it from then on.
+        Without this, when a zone loses most of its machines, the cheapest machine may be rented in
+        another zone. No task of a one-zone job may run there, but plans would then count that
+        machine as free for it.
         """
         spec = job.spec
         if not (spec.oneZone and job.live) or spec.site is not None or spec.shape == "gang":
             return spec
-        known = (self._fleet.machines.get(attempt.machine) for attempt in job.live.values())
-        zones = {machine.site if machine else "" for machine in known}
+        machines = (self._fleet.machines.get(attempt.machine) for attempt in job.live.values())
+        zones = {machine.site if machine else "" for machine in machines}
         if len(zones) > 1 or "" in zones:
             return spec
         return msgspec.structs.replace(spec, site=zones.pop())
--- a/src/chalkgrade/renting/plan.py
+++ b/src/chalkgrade/renting/plan.py
@@ -1,4 +1,4 @@
-"""Which machines to rent for the work that waits. Pure."""
+"""Decides which machines to rent for waiting work. Does no I/O."""
 
 import heapq
 import math
@@ -16,26 +16,27 @@
 
 @dataclass
 class RentalNeed:
-    """Waiting tasks of a job, or of several that are alike."""
+    """Waiting tasks of one job, or of several jobs with the same requirements."""
 
     spec: JobSpec
     tasks: int
-    run_s: float  # expected run time of one
-    patience_s: float  # how long the last of them may wait for its start
+    run_s: float  # expected run time of one task
+    patience_s: float  # how long the last of them may wait to start
 
 
 @dataclass
 class MachineCapacity:
-    """A machine there or on its way: when how many of its CPUs are free next."""
+    """A machine that is up or booting: in how many seconds how many of its CPUs become free."""
 
     pool: Pool
     free_cpus: list[tuple[float, int]]
 
 
 class _CpuTimelines:
-    """CPUs by pool and by the time at which they come free, in steps of a moment.
+    """CPUs by pool and by the time step at which they become free.
 
-    Counted, not listed: a plan for thousands of tasks must not take a step each.
+    CPUs are counted per time step, not listed one by one, so that a plan for thousands of tasks
+    doesn't need an operation for each.
     """
 
     def __init__(self, have: Iterable[MachineCapacity]) -> None:
@@ -49,11 +50,12 @@
             self.add(pool, free, cpus)
 
     def add(self, pool: Pool, free: float, cpus: int) -> None:
+        """Adds CPUs of a pool that become free in `free` seconds."""
         if cpus > 0:
             heapq.heappush(self.pools.setdefault(pool, []), (free, cpus))
 
     def take_earliest(self, usable: list[Pool], cpus: int) -> list[tuple[Pool, float, int]]:
-        """The first CPUs to come free in these pools: so many, or all there are."""
+        """Removes and returns the first `cpus` CPUs to become free in these pools, or all."""
         out: list[tuple[Pool, float, int]] = []
         while cpus > 0:
             heads = [(self.pools[p][0][0], p) for p in usable if self.pools.get(p)]
@@ -67,30 +69,31 @@
         return out
 
     def delay(self, usable: list[Pool], cpus: int, run_s: float) -> None:
-        """Lay so many one-CPU runs on these pools, all their CPUs alike."""
+        """Delays all CPUs of these pools equally by `cpus` one-CPU runs spread over them."""
         total = sum(count for pool in usable for _, count in self.pools.get(pool, ()))
         more = cpus / total * run_s if total else 0.0
         for pool in usable:
             self.pools[pool] = [(free + more, count) for free, count in self.pools.get(pool, ())]
 
     def earliest_cpus(self, usable: list[Pool]) -> int:
-        """How many CPUs come free at the same time as the first one."""
+        """Returns how many CPUs become free at the earliest time in one of these pools."""
         heads = [(*self.pools[p][0], p) for p in usable if self.pools.get(p)]
         return min(heads)[1] if heads else 0
 
 
 def effective_hourly_price(flavor: Flavor, standby: bool) -> float:
-    """What an hour of use costs, with the boot time that is charged before it."""
+    """Price of an hour of use, including its share of the boot time, which is charged too."""
     hourly = flavor.spotPrice if standby else flavor.hourly
     return hourly * (1 + flavor.bootS / constants.STAY_S)
 
 
 def _cheapest_offer(
-    spec: JobSpec, tasks: int, start: float, flavors: dict[str, Flavor], shut: set[Pool]
+    spec: JobSpec, tasks: int, start_s: float, flavors: dict[str, Flavor], closed: set[Pool]
 ) -> tuple[Pool, int] | None:
-    """The pool with the cheapest useful room for so many tasks, and tasks per machine.
+    """Returns the pool with the cheapest useful capacity for the tasks, and tasks per machine.
 
-    `start` is when the first of them could start without it.
+    `start_s` is when the first of them could start without a new machine. Returns None if no
+    open pool is suitable at an acceptable price.
     """
     offers = []
     cheapest = float("inf")
@@ -105,8 +108,8 @@
                     continue
                 full = effective_hourly_price(flavor, standby) / count
                 cheapest = min(cheapest, full)
-                if pool not in shut:
-                    # Useful room is what can be filled now, not all of a big machine.
+                if pool not in closed:
+                    # Only capacity that can be filled now is useful, not all of a big machine.
                     offers.append(
                         (
                             effective_hourly_price(flavor, standby) / min(count, tasks),
@@ -115,21 +118,21 @@
                             count,
                         )
                     )
-    # Dear pools are for work that would else wait for very long, or for ever.
-    ratio = float("inf") if _allows_expensive_pools(start) else constants.PRICE_RATIO_MAX
+    # Expensive pools are for work that would otherwise wait very long or for ever.
+    ratio = float("inf") if _allows_expensive_pools(start_s) else constants.PRICE_RATIO_MAX
     for _, full, pool, count in sorted(offers):
         if full <= cheapest * ratio:
             return pool, count
     return None
 
 
-def _allows_expensive_pools(start: float) -> bool:
-    """Whether work that would start then may use dear pools."""
-    return start > constants.DEAR_WAIT_S
+def _allows_expensive_pools(start_s: float) -> bool:
+    """Whether work that would otherwise start in `start_s` seconds may use expensive pools."""
+    return start_s > constants.DEAR_WAIT_S
 
 
 class RentalPlan:
-    """One plan in the making: what is laid where so far, and what is to be rented."""
+    """A rental plan under construction: tasks placed so far and machines to rent by pool."""
 
     def __init__(
         self,
@@ -148,30 +151,30 @@
         self._boots = boots
         self._report = report
         self._headroom = headroom
-        # What a team may start only after a machine that is rented now is up can wait.
+        # Tasks that a limit holds back until after a machine rented now has booted can wait.
         self._min_boot_s = min((flavor.bootS for flavor in flavors.values()), default=0.0)
 
     def add(self, need: RentalNeed) -> None:
-        """Lay the tasks of a need on what there is, and rent where they would wait too long."""
+        """Places the tasks of a need on existing CPUs; rents where they would wait too long."""
         spec = need.spec
-        maxima = self._headroom.get(spec.owner) or Headroom()
+        headroom = self._headroom.get(spec.owner) or Headroom()
         within_s = max(need.patience_s, self._min_boot_s)
         if (
-            maxima.earliest_start(spec, self._min_start_together(need, need.tasks), within_s)
+            headroom.earliest_start(spec, self._min_start_together(need, need.tasks), within_s)
             > within_s
         ):
             return
         usable = self._usable_pools(spec)
         if spec.shape == "gang":
             self._rent_for_gang(need, usable)
-        self._place_tasks(need, maxima, within_s, usable)
+        self._place_tasks(need, headroom, within_s, usable)
 
     def _min_start_together(self, need: RentalNeed, left: int) -> int:
-        """How many of its tasks start together at least."""
+        """How many of the need's tasks must start together at least."""
         return left if need.spec.shape == "gang" else 1
 
     def _usable_pools(self, spec: JobSpec) -> list[Pool]:
-        """Pools whose machines may run it; those too small for one task don't help it."""
+        """Pools whose machines may run the job and are large enough for one of its tasks."""
         flavors = self._flavors
         every = {
             (f.sku, site, spot)
@@ -188,9 +191,11 @@
         )
 
     def _boot_s(self, pool: Pool) -> float:
+        """Expected boot time of a machine of the pool."""
         return self._boots.expected_boot_s(pool, self._flavors[pool[0]].bootS)
 
     def _rent(self, spec: JobSpec, pool: Pool, cpus: int) -> None:
+        """Adds one machine to the plan; `cpus` of its CPUs are usable by the job."""
         self.rented[pool] = self.rented.get(pool, 0) + 1
         if self.rented[pool] >= constants.RENT_MAX:
             self._closed_pools.add(pool)
@@ -198,7 +203,7 @@
         self._report.team_plan(spec.owner).rented += int(self._flavors[pool[0]].vcpus)
 
     def _rent_for_gang(self, need: RentalNeed, usable: list[Pool]) -> None:
-        """All at once: what fits the machines one after the other does not help it."""
+        """Rents machines until all the gang's tasks fit at once, as they can't run in turns."""
         spec = need.spec
         rooms = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
         missing = need.tasks - sum(tasks_per_machine(spec, room) for room in rooms)
@@ -210,62 +215,71 @@
             missing -= offer[1]
 
     def _place_tasks(
-        self, need: RentalNeed, maxima: Headroom, within_s: float, usable: list[Pool]
+        self, need: RentalNeed, headroom: Headroom, within_s: float, usable: list[Pool]
     ) -> None:
-        spec, left, width, lanes = need.spec, need.tasks, _cpus_per_task(need.spec), self._timelines
-        hopeless: set[bool] = set()  # whether dear pools were asked, too, and none would do
+        """Places a need's tasks in the order of their start and rents where that pays off."""
+        spec, left, task_cpus, timelines = (
+            need.spec,
+            need.tasks,
+            _cpus_per_task(need.spec),
+            self._timelines,
+        )
+        # Each entry: whether expensive pools were included in a search that found no offer.
+        searched_without_offer: set[bool] = set()
         while left > 0:
-            may_start = maxima.earliest_start(spec, self._min_start_together(need, left), within_s)
+            may_start = headroom.earliest_start(
+                spec, self._min_start_together(need, left), within_s
+            )
             if may_start > within_s:
-                return  # what is left may not start in time, whatever is rented
-            if True in hopeless:
-                # Nothing can be rented for what is left, however late: it only keeps
-                # the others waiting. A huge job must not cost a step each wave.
-                left = maxima.startable_tasks(spec, left, within_s)
-                maxima.consume(spec, left)
-                lanes.delay(usable, left * width, need.run_s)
+                return  # the limits let nothing more start in time, whatever is rented
+            if True in searched_without_offer:
+                # Nothing can be rented for the remaining tasks, however late they start: they
+                # only delay others. A huge job must not need a step for each wave of tasks.
+                left = headroom.startable_tasks(spec, left, within_s)
+                headroom.consume(spec, left)
+                timelines.delay(usable, left * task_cpus, need.run_s)
                 self._report.add_placed(
                     spec.owner, left * spec.vcpus, float("inf"), need.patience_s
                 )
                 return
-            # Tasks that start at the same moment are laid at once.
+            # Tasks that start at the same time are placed in one step.
             at_once = min(
-                maxima.startable_tasks(spec, left, may_start), lanes.earliest_cpus(usable) // width
+                headroom.startable_tasks(spec, left, may_start),
+                timelines.earliest_cpus(usable) // task_cpus,
             )
             tasks = max(at_once, self._min_start_together(need, left))
-            taken = lanes.take_earliest(usable, tasks * width)
-            full = sum(cpus for _, _, cpus in taken) == tasks * width
+            taken = timelines.take_earliest(usable, tasks * task_cpus)
+            full = sum(cpus for _, _, cpus in taken) == tasks * task_cpus
             start = max(free for _, free, _ in taken) if full else float("inf")
             offer = None
             if (
                 start > max(need.patience_s, may_start)
-                and _allows_expensive_pools(start) not in hopeless
+                and _allows_expensive_pools(start) not in searched_without_offer
             ):
                 offer = _cheapest_offer(spec, left, start, self._flavors, self._closed_pools)
                 if offer is None:
-                    hopeless.add(
-                        _allows_expensive_pools(start)
-                    )  # pools only close while a plan is made
+                    # Pools only close while a plan is being made, so the search isn't repeated.
+                    searched_without_offer.add(_allows_expensive_pools(start))
                 if offer is not None and self._boot_s(offer[0]) >= start:
                     offer = None
             if offer is None and start < float("inf"):
                 start = max(start, may_start)
                 for pool, _, cpus in taken:
-                    lanes.add(pool, start + need.run_s, cpus)
-                maxima.consume(spec, tasks)
-                maxima.add_release(spec, tasks, start + need.run_s)
+                    timelines.add(pool, start + need.run_s, cpus)
+                headroom.consume(spec, tasks)
+                headroom.add_release(spec, tasks, start + need.run_s)
                 left -= tasks
                 self._report.add_placed(spec.owner, tasks * spec.vcpus, start, need.patience_s)
                 continue
             for pool, free, cpus in taken:
-                lanes.add(pool, free, cpus)
+                timelines.add(pool, free, cpus)
             if offer is None:
                 return
-            self._rent(spec, offer[0], offer[1] * width)
+            self._rent(spec, offer[0], offer[1] * task_cpus)
 
 
 def _cpus_per_task(spec: JobSpec) -> int:
-    """Whole CPUs that one task takes in a plan."""
+    """Whole CPUs that one task uses in a plan."""
     return max(1, math.ceil(spec.vcpus - 1e-9))
 
 
@@ -278,13 +292,14 @@
     report: PlanReport | None = None,
     headroom: Mapping[str, Headroom] | None = None,
 ) -> dict[Pool, int]:
-    """How many machines to rent from which pool.
-
-    Waiting tasks are laid on the CPUs there are, in the order in which they
-    would start; where a task would wait longer than its job's patience, and
-    longer than a new machine takes to boot, a machine is added. A team's tasks
-    count from when its maxima let them start (`headroom`, by team), as far as that
-    is in time for their patience, or for a machine that is rented now.
+    """Returns how many machines to rent from each pool.
+
+    Waiting tasks are placed on the existing CPUs in the order in which they would
+    start. Where a task would wait longer than its job's patience, and longer than a
+    new machine takes to boot, a machine is added. A team's tasks count from the time
+    at which its limits let them start (`headroom`, by team), if that is within their
+    patience or within the boot time of a machine rented now. Pools in `blocked` are
+    not rented from.
     """
     plan = RentalPlan(
         have, flavors, blocked, boots or BootTimes(), report or PlanReport(), headroom or {}
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -1,7 +1,7 @@
-"""Machines wanted against machines there: the loop that works off the difference.
+"""The leader's loop that rents missing machines and returns unneeded ones.
 
-The plan is made in `rentals`; here are the leader's list of machines, what it
-has asked for, what it returns, and what becomes of the work on it.
+The rental plan is made in `plan`. This module keeps the leader's list of machines up to date,
+sends rental requests, returns machines and reports the attempts that are lost with them.
 """
 
 import asyncio
@@ -30,81 +30,87 @@
 
 
 class Renter(Component):
-    """The leader's dealings with the cloud."""
+    """Rents machines for waiting work and returns idle, failed and silent ones."""
 
     def __init__(
         self,
-        domain: TermContext,
+        term_context: TermContext,
         cloud: CloudClient,
-        lost: Callable[[Attempt], None],
-        able: Callable[[Job, int], int],
+        on_attempt_lost: Callable[[Attempt], None],
+        startable_tasks: Callable[[Job, int], int],
     ) -> None:
-        self.settings = domain.context.settings
-        self.clock = clock = domain.context.clock
-        self.registry = domain.registry
-        self.fleet = domain.fleet
-        self.queues = domain.queues
-        self.flavors = domain.flavors
-        # The machine types, for controllers that can't ask the cloud.
-        self.flavor_record = persisted_flavors(domain.flavors)
+        self.settings = term_context.context.settings
+        self.clock = clock = term_context.context.clock
+        self.registry = term_context.registry
+        self.fleet = term_context.fleet
+        self.queues = term_context.queues
+        self.flavors = term_context.flavors
+        # The machine flavors are persisted for controllers that can't ask the cloud.
+        self.flavor_record = persisted_flavors(term_context.flavors)
         self.persisted_values = [self.flavor_record]
         self.decision_loops = [self.run]
         self.cloud = cloud
-        self.is_serving = domain.is_serving
-        self.waiting_work = WaitingWork(domain, able)
+        self.is_serving = term_context.is_serving
+        self.waiting_work = WaitingWork(term_context, startable_tasks)
         self.report = PlanReport()  # of the last plan
         self.report_logged_at = -1e9
-        self.on_attempt_lost = lost  # an attempt went with its machine
-        self.plan_requested = asyncio.Event()
-        self.refused_until: dict[Pool, float] = {}
+        self.on_attempt_lost = on_attempt_lost  # called if an attempt is lost with its machine
+        self.plan_requested = asyncio.Event()  # new work: plan before the next list
+        self.refused_until: dict[Pool, float] = {}  # pools without capacity are avoided so long
+        # Requests without an answer yet: the request's name and the number of machines.
         self.pending_rentals: dict[Pool, tuple[str, int]] = {}
         self.rental_number = 0
-        # Jobs that wait for others, and in how many s they may run, the first first.
+        # Jobs that wait for others, and in how many seconds they may run, earliest first.
         self.upcoming_jobs: Callable[[], list[tuple[Job, float]]] = list
-        self.pending_releases: dict[str, None] = {}  # names to release
+        self.pending_releases: dict[str, None] = {}  # names of machines to return
         self.started_at = clock.now()
         self.has_enough_reports = False
         self.boot_times = BootTimes()
         self.unreliable_pools: set[Pool] = set()
-        self.has_waiting_work = True  # some work waited at the last plan
+        self.has_waiting_work = True  # whether work waited at the last plan
         self.planned_at = -1e9
         self.plan_duration_s = 0.0
 
     def start(self) -> None:
+        """Starts the time within which machines are expected to report to a new leader."""
         self.started_at = self.clock.now()
-        self.has_enough_reports = (
-            not self.flavor_record.stamp
-        )  # nobody has led before: there is nothing to wait for
+        # Without an earlier leader there are no machines to wait for.
+        self.has_enough_reports = not self.flavor_record.stamp
 
     def _check_enough_reports(self) -> bool:
-        """Whether so many machines have reported that what is short can be seen.
+        """Whether enough machines have reported to tell how many are missing.
 
-        What the last leader rented a moment ago is in no list yet, and what its machines
-        run and could take is known from their reports alone.
+        Machines that the previous leader rented a moment ago are in no list yet, and only
+        their reports tell what they run and what capacity is left on them.
         """
         if not self.has_enough_reports:
-            there = [m for m in self.fleet.machines.values() if m.status == "running" or m.attempts]
-            heard = sum(machine.reported_at is not None for machine in there)
+            present = [
+                m for m in self.fleet.machines.values() if m.status == "running" or m.attempts
+            ]
+            heard = sum(machine.reported_at is not None for machine in present)
             self.has_enough_reports = (
                 self.clock.now() - self.started_at > constants.NEW_TERM_S
-                or 0 < constants.NEW_TERM_PART * len(there) <= heard
+                or 0 < constants.NEW_TERM_PART * len(present) <= heard
             )
         return self.has_enough_reports
 
     def on_job(self, job: Job, fresh: bool) -> None:
+        """Requests a new plan for a job."""
         self.plan_requested.set()
 
     def on_report(self, machine: Machine, first: bool) -> None:
+        """Records the boot time of a machine rented this term at its first report."""
         flavor = self.flavors.get(machine.hosttype)
         if first and machine.rented_this_term and flavor is not None:
             pool = (machine.hosttype, machine.site, machine.standby)
             self.boot_times.record_boot(pool, machine.rented_at, self.clock.now(), flavor.bootS)
 
     def samples(self) -> Iterable[Sample]:
+        """Returns the samples of the last rental plan."""
         return self.report.samples()
 
     def _log_report(self, now: float) -> None:
-        """Say what the last plan made of each team's work: seldom to operators, else for traces."""
+        """Logs the last plan by team, at info level every `TELL_EVERY_S` seconds, else at debug."""
         if not self.report.teams:
             return
         often = now - self.report_logged_at < constants.TELL_EVERY_S
@@ -114,11 +120,12 @@
         log.log(level, "rental plan: %s", self.report.format_line(), extra=about(self.fleet.token))
 
     def refused_pools(self) -> set[Pool]:
-        """Pools that had no capacity of late."""
+        """Returns the pools that recently had no capacity."""
         now = self.clock.now()
         return {pool for pool, until in self.refused_until.items() if until > now}
 
     async def run(self) -> None:
+        """Refreshes flavors and the machine list, returns machines, and rents, in a loop."""
         flavors_at = -1e9
         while True:
             began = self.clock.now()
@@ -132,7 +139,7 @@
                     if self._check_enough_reports():
                         await self._rent_machines()
             except NoAnswer as error:
-                log.info("cloud: %s", error)
+                log.info("cloud call failed: %s", error)
             pause = max(0.3, constants.LIST_EVERY_S - (self.clock.now() - began))
             self.plan_requested.clear()
             try:
@@ -140,17 +147,18 @@
                     await self.plan_requested.wait()
             except TimeoutError:
                 continue
-            # New work: machines take long enough to boot. The list can wait. But many
-            # small jobs a second must not each cost a plan.
+            # New work: plan without refreshing the list first, as machines take long enough to
+            # boot. The gap keeps many small jobs a second from causing a plan each.
             gap = max(constants.PLAN_GAP_S, constants.PLAN_REST * self.plan_duration_s)
             await asyncio.sleep(max(0.0, self.planned_at + gap - self.clock.now()))
             try:
                 if self.is_serving() and self._check_enough_reports():
                     await self._rent_machines()
             except NoAnswer as error:
-                log.info("cloud: %s", error)
+                log.info("cloud call failed: %s", error)
 
     async def _refresh_flavors(self) -> None:
+        """Updates the flavors; has them persisted if a name, size or zone changed."""
         flavors = await self.cloud.list_flavors()
         shape = [(f.sku, f.resources, f.sites) for f in flavors]
         if shape != [(f.sku, f.resources, f.sites) for f in self.flavors.values()] or (
@@ -162,6 +170,7 @@
         self.flavors.update({flavor.sku: flavor for flavor in flavors})
 
     async def _refresh_machines(self) -> None:
+        """Updates the known machines from the cloud's list and schedules releases."""
         rows, asked = await self.cloud.list_machines()
         now = self.clock.now()
         names = set()
@@ -180,7 +189,7 @@
                 self._schedule_release(machine, why)
 
     def _release_reason(self, machine: Machine, listed: bool, asked: float, now: float) -> str:
-        """Why a machine is to be returned, or nothing."""
+        """Returns why a machine must be returned, or an empty string if it need not."""
         lag = self.settings.cluster.cloud.list_lag_s * 2 + 1
         silent = now - max(machine.reported_at or 0.0, machine.known_at)
         flavor = self.flavors.get(machine.hosttype)
@@ -212,27 +221,31 @@
             and silent > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
         ):
             return "silent"
-        deaf = machine.response_tracker.responses_lost_since
-        if deaf is not None and now - deaf > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s:
+        responses_lost_since = machine.response_tracker.responses_lost_since
+        if (
+            responses_lost_since is not None
+            and now - responses_lost_since > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
+        ):
             return "hears nothing"
-        # Silent to the last leader and to us: a change of leader begins nothing anew.
+        # Silence that began under the previous leader counts: a new term doesn't restart it.
         begun = machine.silent_since if machine.silent_since is not None else now
         patience = constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
         if silent > self.fleet.silent_s and now - begun > patience:
             return "silent"
         if machine.failures >= constants.SUSPECT_FAILURES:
-            # Its other tasks would fail too, or never end: they start afresh elsewhere.
+            # Its other tasks would fail too, or never end; they are restarted elsewhere.
             return "suspect"
         return ""
 
     def _schedule_release(self, machine: Machine, why: str) -> None:
+        """Marks a machine for return; the first time, logs why and records a failed boot."""
         if not machine.releasing:
             if self._is_booting(machine, self.clock.now()):
                 self.boot_times.record_failed_boot(
                     (machine.hosttype, machine.site, machine.standby), machine.rented_at
                 )
             log.info(
-                "releasing %s (%s %s): %s",
+                "machine release scheduled: %s (%s %s): %s",
                 machine.name,
                 machine.hosttype,
                 machine.site,
@@ -243,18 +256,19 @@
         self.pending_releases[machine.name] = None
 
     async def _release_machines(self) -> None:
-        """Return what is doomed or idle; what the cloud has confirmed is surely gone."""
+        """Returns scheduled and idle machines; those the cloud confirms are known to be gone."""
         now = self.clock.now()
         patience = self.settings.operator.idle_release_s
         if self.clock.wall() - self.queues.last_submission_at > constants.LULL_S:
-            # Nobody has asked for anything lately: there is less to keep machines for.
+            # Without recent submissions there is less reason to keep idle machines.
             patience = min(patience, constants.LULL_RELEASE_S)
-        coming = [[job, in_s, job.spec.tasks] for job, in_s in self.upcoming_jobs()]
+        upcoming = [[job, in_s, job.spec.tasks] for job, in_s in self.upcoming_jobs()]
         for machine in self.fleet.machines.values():
             if machine.attempts or machine.tasks or machine.reported_at is None:
-                # The backstop for aborted work on a machine that does not answer, or does not
-                # hear: it counts against its team's limit until it is proved gone, and what a
-                # deaf machine reports proves nothing of an earlier leader's launches.
+                # Aborted work on a machine that doesn't report, or doesn't receive responses,
+                # counts against its team's limit until it is proved gone. Reports of a machine
+                # without responses prove nothing about an earlier leader's launches. So
+                # such a machine is returned.
                 silent = now - max(machine.reported_at or 0.0, machine.known_at)
                 lost = silent > self.fleet.silent_s or machine.response_tracker.responses_lost
                 if lost and any(a.job.aborted for a in machine.attempts.values()):
@@ -264,7 +278,7 @@
             if (
                 idle > patience
                 and not machine.releasing
-                and not self._is_kept_for_upcoming(machine, coming)
+                and not self._is_kept_for_upcoming(machine, upcoming)
             ):
                 self._schedule_release(machine, "idle")
         while self.pending_releases:
@@ -278,16 +292,16 @@
                 for attempt in self.fleet.remove_machine(gone):
                     self.on_attempt_lost(attempt)
 
-    def _is_kept_for_upcoming(self, machine: Machine, coming: list[Any]) -> bool:
-        """Whether an idle machine is kept for work that may run before another would be up.
+    def _is_kept_for_upcoming(self, machine: Machine, upcoming: list[Any]) -> bool:
+        """Whether an idle machine is kept for jobs that may run before a new one would boot.
 
-        `coming`: jobs, in how many s they may run, and how many of their tasks have no machine
-        yet; those that this one can take are counted off.
+        `upcoming` holds rows of a job, in how many seconds it may run, and how many of its tasks
+        have no machine yet. The tasks that this machine can run are subtracted from its row.
         """
         flavor = self.flavors.get(machine.hosttype)
         if flavor is None:
             return False
-        for row in coming:
+        for row in upcoming:
             job, in_s, tasks = row
             if tasks <= 0 or in_s > flavor.bootS:
                 continue
@@ -299,25 +313,25 @@
         return False
 
     async def _rent_machines(self) -> None:
-        """Rent until nothing more is wanted or every pool that would do has refused."""
+        """Rents until nothing more is missing or every suitable pool has refused."""
         while self.is_serving():
             now = self.clock.now()
-            shut = [pool for pool, until in self.refused_until.items() if until > now]
-            doubtful, probing = self._find_unreliable_pools(now)
-            shut += probing
+            closed_pools = [pool for pool, until in self.refused_until.items() if until > now]
+            unreliable, probing = self._find_unreliable_pools(now)
+            closed_pools += probing
             self.planned_at = now
             self.report = PlanReport()
             needs = self.waiting_work.rental_needs(self.upcoming_jobs(), self.report)
             self.has_waiting_work = bool(needs)
             if needs:
-                closed = [*shut, *self.pending_rentals]
+                excluded = [*closed_pools, *self.pending_rentals]
                 have, ends = self._machine_capacities(now)
                 room = self.waiting_work.team_headroom(ends)
-                wanted = plan_rentals(
-                    needs, have, self.flavors, closed, self.boot_times, self.report, room
+                planned_by_pool = plan_rentals(
+                    needs, have, self.flavors, excluded, self.boot_times, self.report, room
                 )
-                for pool, planned in wanted.items():
-                    count = min(planned, constants.BOOT_PROBES) if pool in doubtful else planned
+                for pool, planned in planned_by_pool.items():
+                    count = min(planned, constants.BOOT_PROBES) if pool in unreliable else planned
                     self.rental_number += 1
                     self.pending_rentals[pool] = (
                         f"h{self.fleet.token}-{self.rental_number}",
@@ -327,27 +341,27 @@
             self._log_report(now)
             if not self.pending_rentals:
                 return
-            for pool, (hire, count) in list(self.pending_rentals.items()):
+            for pool, (request_name, count) in list(self.pending_rentals.items()):
                 try:
-                    names = await self.cloud.rent(hire, pool, count)
+                    names = await self.cloud.rent(request_name, pool, count)
                 except RentalRefusedError:
                     names = []
                 del self.pending_rentals[pool]
                 what = about(self.fleet.token)
-                log.info("rented %d of %d of %s", len(names), count, pool, extra=what)
+                log.info("machines rented: %d of %d in %s", len(names), count, pool, extra=what)
                 for name in names:
                     self.fleet.get_or_add(name, *pool).rented_this_term = True
                 if len(names) < count:
                     self.refused_until[pool] = self.clock.now() + constants.REFUSED_S
 
     def _find_unreliable_pools(self, now: float) -> tuple[set[Pool], list[Pool]]:
-        """Pools whose machines do not come up, and those of them that are being tried again."""
+        """Returns the unreliable pools, and those of them where a probe machine is booting."""
         booting: dict[Pool, list[float]] = {}
         for machine in self.fleet.machines.values():
             if self._is_booting(machine, now) and not machine.releasing:
                 pool = (machine.hosttype, machine.site, machine.standby)
                 booting.setdefault(pool, []).append(machine.rented_at)
-        doubtful: set[Pool] = set()
+        unreliable: set[Pool] = set()
         probing: list[Pool] = []
         for flavor in self.flavors.values():
             for pool in (
@@ -356,21 +370,22 @@
                 births = booting.get(pool, [])
                 if not self.boot_times.is_unreliable(pool, flavor.bootS, births, now):
                     continue
-                doubtful.add(pool)
+                unreliable.add(pool)
                 if any(
                     not self.boot_times.is_overdue(pool, flavor.bootS, now - born)
                     for born in births
                 ):
                     probing.append(pool)
-        if doubtful != self.unreliable_pools:
-            self.unreliable_pools = doubtful
-            log.info("machines do not come up in time: %s", sorted(doubtful) or "nowhere any more")
-        return doubtful, probing
+        if unreliable != self.unreliable_pools:
+            self.unreliable_pools = unreliable
+            log.info("machines do not boot in time: %s", sorted(unreliable) or "nowhere any more")
+        return unreliable, probing
 
     def _is_booting(self, machine: Machine, now: float) -> bool:
-        """Whether a machine has yet to come up.
+        """Whether a machine is still booting.
 
-        Under a new leader none has reported at first; the old ones are there.
+        Under a new leader no machine has reported at first. Machines that it did not rent
+        itself count as booting only after they had `BOOT_KNOWN_S` seconds to report.
         """
         return (
             machine.reported_at is None
@@ -380,9 +395,10 @@
         )
 
     def _machine_capacities(self, now: float) -> tuple[list[MachineCapacity], dict[Attempt, float]]:
-        """Machines that serve or will: the listed, the booting, not the silent or sick.
+        """Returns the capacity of machines in service or booting, and when attempts end.
 
-        And in how many seconds each attempt on them is over; a service's never is by itself.
+        Silent and failing machines are left out. Ends are in seconds from now; the attempts of
+        a service never end by themselves.
         """
         out = []
         ends: dict[Attempt, float] = {}
@@ -395,7 +411,7 @@
             if machine.reported_at is None and self._is_booting(machine, now):
                 left = self.boot_times.remaining_boot_s(pool, flavor.bootS, now - machine.rented_at)
                 if left is None:
-                    continue  # what it was rented for must come from elsewhere
+                    continue  # overdue: the work needs another machine
                 boot = left
             busy: list[tuple[float, int]] = []
             for attempt in machine.attempts.values():
--- a/src/chalkgrade/renting/subsystem_context.py
+++ b/src/chalkgrade/renting/subsystem_context.py
@@ -1,4 +1,4 @@
-"""What an optional subsystem is given when it joins a term."""
+"""The interface that an optional subsystem receives when a leader's term begins."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True)
 class SubsystemContext:
-    """One term's domain, its renter, what all gates together say, and a way out."""
+    """One term's state, its renter, the combined start constraints and an HTTP client."""
 
     term_context: TermContext
     renter: Renter
-    startable_tasks: Callable[[Job, int], int]  # how many of so many tasks gates would let start
-    holds_scarce_resource: Callable[[Job], bool]  # whether a gate ties a job to what it has
+    startable_tasks: Callable[[Job, int], int]  # how many of so many tasks constraints let start
+    holds_scarce_resource: Callable[[Job], bool]  # whether a constraint ties a job to what it holds
     http: Http
