--- a/tests/test_placement_rentals.py
+++ b/tests/test_placement_rentals.py
@@ -1,4 +1,4 @@
-"""Choosing machines, making room, and renting, on small exact cases."""
+"""Placement, preemption and rental plans, on small cases with exact expected results."""
 
 import random
 from dataclasses import replace
@@ -70,7 +70,7 @@
 def test_zones() -> None:
     assert eligible_zones(spec(oneZone=True), {"a": 1}, ["a", "b"]) == {"a"}
     assert eligible_zones(spec(spread=True), {"a": 2}, ["a", "b"]) == {"b"}
-    # A task somewhere unknown may be in either zone.
+    # A task on an unknown machine may be in either zone.
     assert eligible_zones(spec(spread=True), {"a": 1, "": 1}, ["a", "b"]) == {"b"}
 
 
@@ -92,7 +92,7 @@
     found = select_victims(spec(), full, own=False)
     assert [victim.task for victim in found or []] == ["y"]
     assert select_victims(spec(urgency="best_effort"), full, own=False) is None
-    assert select_victims(spec(), full, own=True) is None  # none of them is the team's own
+    assert select_victims(spec(), full, own=True) is None  # none of them belongs to the same team
     assert room_wait_s(spec(vcpus=2.0), full) == 3
 
 
@@ -110,11 +110,11 @@
 
 
 def test_rents_the_cheapest_useful_room() -> None:
-    """Four tasks: a small machine for 0.1 beats a large one for 1.6, even if per CPU it is not."""
+    """Only capacity that the tasks can fill counts: four tasks don't justify a large machine."""
     assert plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], [], FLAVORS, []) == {
         ("small", "a", True): 1
     }
-    # Per CPU both cost the same here, but boot time is charged: the sooner one is cheaper.
+    # Per CPU both cost the same here, but boot time is charged: the faster boot is cheaper.
     rented = plan_rentals([RentalNeed(spec(), 64, 50.0, 20.0)], [], FLAVORS, [])
     assert rented == {("small", "a", True): 16}
 
@@ -123,13 +123,13 @@
     shut = [("small", "a", True), ("small", "b", True), ("large", "a", True)]
     rented = plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], [], FLAVORS, shut)
     assert rented == {("small", "a", False): 1}
-    # Found by a seeded day: a price cap without this left such a job waiting for ever.
+    # A strict price limit would leave a job waiting for ever if all cheap pools have refused.
     soon = [MachineCapacity(("small", "a", True), [(35.0, 4)])]
     assert plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], soon, FLAVORS, shut) == {}
 
 
 def test_picking_in_a_row_chooses_what_looking_at_all_machines_each_time_chooses() -> None:
-    """The cheap way must decide as the plain one, on random machines and jobs."""
+    """`SlotPicker` must choose as `choose_slot` does, on random machines and jobs."""
     rng = random.Random(3)
     for _ in range(300):
         many = [
@@ -174,7 +174,7 @@
 
 
 def test_a_plan_for_thousands_takes_few_steps(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Work per plan grows with the moments at which CPUs come free, not with the tasks."""
+    """A plan's work must grow with the time steps at which CPUs become free, not with tasks."""
     steps = 0
     plain = plan._CpuTimelines.take_earliest
 
@@ -192,7 +192,10 @@
 
 
 def test_a_gang_that_the_machines_can_only_run_in_turns_gets_more() -> None:
-    """Found by real processes: short tasks seemed to come free in time, one after the other."""
+    """Guards against a gang that waits for ever because its tasks would fit one after the other.
+
+    The tasks are short, so CPUs seem to become free in time, but all of them must run at once.
+    """
     have = [MachineCapacity(("small", "a", True), [(0.0, 4)])]
     gang = spec(shape="gang", tasks=3, vcpus=2.0, pullGb=0.0)
     assert plan_rentals([RentalNeed(gang, 3, 2.0, 10.0)], have, FLAVORS, []) == {
@@ -201,7 +204,7 @@
     assert (
         plan_rentals([RentalNeed(spec(tasks=3, vcpus=2.0), 3, 2.0, 10.0)], have, FLAVORS, []) == {}
     )
-    # Fifteen CPUs are there, but a machine of four takes one task of three.
+    # The 15 CPUs for it are there, but a machine of four CPUs can run only one task of three.
     wide = spec(shape="gang", tasks=5, vcpus=3.0)
     assert plan_rentals([RentalNeed(wide, 5, 2.0, 10.0)], have * 4, FLAVORS, []) == {
         ("small", "a", True): 1
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -1,8 +1,9 @@
-"""Machines that are up within two seconds and get work at once, while writes lag and leaders end.
+"""Leader failures around rentals and launches, with slow writes and machines that boot quickly.
 
-The leader ends before, between and after the writes of a hire, a launch and the answer to it; a
-write without an answer is carried out at once, or seconds later. Hires are on no record: what
-an earlier leader rented is found by its reports and in the list.
+Machines are up within two seconds and get work at once. The leader fails before, during or after
+a rental request, the write of a launch, or the response with it; a write without an answer is
+executed at once, or seconds later. Rentals are not recorded: a new leader finds its
+predecessor's machines by their reports and in the cloud's list.
 """
 
 import asyncio
@@ -27,20 +28,20 @@
 
 
 class Quick(World):
-    """Ends whoever acts at a moment of the next hire or launch."""
+    """Stops the leader that acts at a chosen moment of the next rental or launch."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.cloud.quick_until = float("inf")
-        self.moment = ""  # at which the leader ends, a few times
-        self.back = 3.0  # s; until it is back
-        self.met: list[str] = []  # moments that came about
-        self.asked: dict[str, set[bytes]] = {}  # hire -> what was asked for under that name
+        self.moment = ""  # at which the leader is stopped, three times
+        self.back = 3.0  # s; until it is restarted
+        self.met: list[str] = []  # moments at which a leader was stopped
+        self.asked: dict[str, set[bytes]] = {}  # rental request name -> request bodies under it
         self.servers["state"] = self._state
         self.servers["cloud"] = self._cloud
 
     def end(self, moment: str, member: str) -> bool:
-        """Whether it ends here: three times, each in a term of its own."""
+        """Whether the member is stopped here: three times, each in a term of its own."""
         if moment != self.moment or len(self.met) >= 3 or member not in self.leaders():
             return False
         self.met.append(moment)
@@ -55,7 +56,7 @@
         if len(self.asked[hire]) > 1:
             raise Broken(f"reused: {hire} asks for {self.asked[hire]}")
         if self.end("before hire", source):
-            await asyncio.sleep(self.rng.uniform(0.0, 4.0))  # it is executed late
+            await asyncio.sleep(self.rng.uniform(0.0, 4.0))  # the request is executed late
         answer = await self.cloud.handle(source, method, path, body)
         if answer[0] == 200 and self.end("after hire", source):
             return None
@@ -78,8 +79,8 @@
             answer = await plain(source, method, path, body)
             if path == "/hello" and answer is not None and "launch" in str(answer[1]):
                 if self.end("before answer", member):
-                    return None  # its machine never hears of it
-                if self.end("answer", member):  # it has the launch, and then reaches nobody
+                    return None  # the machine never receives the launch
+                if self.end("answer", member):  # the machine gets the launch, then is cut off
                     nobody = {source}, set(self.members), 8.0, False
                     self.loop.call_later(0.05, self.cut, *nobody)
             return answer
@@ -92,7 +93,7 @@
 
 
 async def _day(world: Any, moment: str, lag: str) -> None:
-    """Work comes in waves, each with more machines; then all is over and they are returned."""
+    """Submits work in waves that need more and more machines, then waits for their return."""
     world.spawn(_check_single_leader(world))
     world.moment = moment
     if lag == "answers lost":
@@ -109,11 +110,11 @@
     assert len(world.met) == 3, f"no pass: {world.met}"
     rented = {name for hosts in world.cloud.hires.values() for name in hosts}
     assert rented, "machines were rented"
-    # Nobody keeps a machine without work: also none whose hire's answer was lost.
+    # Idle machines are returned, including those whose rental answer was lost.
     await _wait_until(world, IDLE_S + 40.0, lambda: not world.cloud.machines)
 
 
-IDLE_S = 120.0  # s; nothing is asked for meanwhile
+IDLE_S = 120.0  # s without submissions until idle machines are returned
 SEEDS = (1, 2)
 
 
@@ -132,7 +133,7 @@
 
 
 def _names_without_token(patch: Patch) -> None:
-    """A hire's name is used again by the next leader."""
+    """Mutation: the next leader reuses the names of rental requests."""
     plain = CloudClient.rent
 
     async def rent(self: CloudClient, hire: str, pool: Any, count: int) -> list[str]:
@@ -142,7 +143,7 @@
 
 
 def _only_its_own(patch: Patch) -> None:
-    """Machines that this leader did not rent are nobody's."""
+    """Mutation: a leader ignores machines that it did not rent itself."""
     plain = Fleet.accept_report
 
     def take(self: Fleet, report: Any) -> Any:
@@ -157,6 +158,7 @@
 
 
 def _launched_before_it_is_durable(patch: Patch) -> None:
+    """Mutation: launches are sent before they are durable."""
     patch.setattr(Attempt, "is_durable", property(lambda self: True))
 
 
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -1,15 +1,16 @@
-"""A team at its maximum: what is rented for it, and who of it gives way to whom.
-
-Seen on seeded days of six times the work (region, virtual time). sixfold_nightly, seed 2: with 35
-of 48 machines up, each rental plan from 110 to 150 s read "nightly: wants 3,500 CPUs and more, may
-start 26; on free 0, soon 26, rented 0". The CPUs that the maximum left were laid on CPUs that the
-team's own running tasks were about to free, and the tasks that its maximum lets start in their
-place were not counted; 13 machines stayed out and the flood got less than half of what could be.
-
-sixfold_desk, seed 7, with those machines rented: a job of 34 tasks was started 413 times and
-stopped 422 times. The guard against starvation started its tasks; the team's own urgent work, at
-the maximum and so refused, stopped them in the same second; 524 stops in all, and a largest job
-of the class that the guard was for was not done.
+"""Rentals for a team at its maximum, and preemption among its own tasks.
+
+Two failures are guarded against. First, a rental plan placed the tasks that the maximum allowed
+at that moment on CPUs that the team's own running tasks were about to release, and did not count
+the tasks that the maximum would let start in their place. It rented nothing: with 35 of 48
+machines up, each plan read "nightly: wants 3,500 CPUs and more, may start 26; on free 0, soon 26,
+rented 0", 13 machines were not rented and the team got less than half of the possible capacity.
+
+Second, the guard against starvation started a job's tasks, and urgent work of the same team,
+refused at the maximum, stopped them in the same second: a job of 34 tasks was started 413 times
+and stopped 422 times (524 stops in all), and one of the largest jobs of the class that the guard
+protects was not done. These were seeded days of six times the work: sixfold_nightly with seed 2,
+and sixfold_desk with seed 7.
 """
 
 import math
@@ -37,7 +38,7 @@
 
 
 def _busy(cpus: int) -> tuple[list[MachineCapacity], list[tuple[float, float]]]:
-    """Machines of four CPUs whose tasks of one CPU end one after the other."""
+    """Machines of four CPUs whose one-CPU tasks end one after the other."""
     ends = [RUN_S * number / cpus for number in range(cpus)]
     have = [
         MachineCapacity(POOL, [(end, 1) for end in ends[at : at + 4]]) for at in range(0, cpus, 4)
@@ -52,14 +53,14 @@
 
 
 def test_what_a_maximum_leaves_is_rented_for_beside_tasks_that_end() -> None:
-    """Its own tasks' CPUs go to its own next tasks: what it lacks to its maximum is missing."""
+    """CPUs of ending tasks go to the team's next tasks; the rest up to its maximum is rented."""
     assert _rented(120, 152.0) == 8
     assert _rented(120, 124.0) == 1
 
 
 def test_nothing_is_rented_for_a_team_that_uses_its_maximum() -> None:
     assert _rented(120, 120.0) == 0
-    assert _rented(120, 100.0) == 0  # or more than it: the limit was lowered
+    assert _rented(120, 100.0) == 0  # it uses more than a lowered limit
 
 
 def test_work_that_can_be_done_on_what_comes_free_needs_no_machine() -> None:
@@ -81,7 +82,7 @@
 
 
 def test_a_lane_counts_as_a_list_of_all_that_comes_free() -> None:
-    """Against the plain way, on random amounts, overdrafts included."""
+    """Compares `CapacityTimeline` with a plain calculation, including use beyond the limit."""
     rng = random.Random(4)
     for _ in range(300):
         busy = [(rng.randrange(20) * 0.5, float(rng.randrange(1, 4))) for _ in range(10)]
@@ -124,14 +125,14 @@
     for own in (True, False):
         assert select_victims(urgent, _slot(_occupant(False)), own) is not None
         assert select_victims(urgent, _slot(_occupant(True)), own) is None
-    # A guarantee is a promise to a team: what others have beyond theirs is given back to it.
+    # A guarantee takes precedence: what other teams use beyond theirs is returned to it.
     excess = {"blue": (1.0, 0.0)}
     assert select_victims(urgent, _slot(_occupant(True, "blue")), False, excess) is not None
 
 
 @pytest.mark.parametrize("seed", [7, 11])
 def test_no_task_is_started_and_stopped_for_ever(seed: int) -> None:
-    """No job of a class that the guard serves has more than a few starts for each of its tasks."""
+    """Jobs of the class that the guard protects have fewer than four starts per task."""
     world = _play(_sixfold("desk", "quote"), seed)
     starts = {
         name: job.get("entered", 0) / job["spec"]["tasks"]
@@ -143,7 +144,7 @@
 
 
 def test_a_plan_says_what_it_did_for_a_team() -> None:
-    """The line by which the fault was found."""
+    """Operators see in the log line and the metrics why a plan rented what it did."""
     report, (have, ends) = PlanReport(), _busy(8)
     room = {"red": Headroom(CapacityTimeline(12.0, ends))}
     plan_rentals(_needs(), have, FLAVORS, [], None, report, room)
@@ -153,35 +154,35 @@
     assert report.team_plan("red").soon > 0
 
 
-class _Floor:
-    """Counts how often its machines are gone through."""
+class _CountingSnapshot:
+    """Counts how often all its machines are iterated."""
 
     def __init__(self, occupants: list[Occupant]) -> None:
         self.slots = [_slot(occupant) for occupant in occupants]
-        self.asked = 0
+        self.iterations = 0
 
     def all_slots(self) -> list[Slot]:
-        self.asked += 1
+        self.iterations += 1
         return self.slots
 
 
 def test_what_a_teams_tasks_will_free_is_worked_out_once_for_all_refused_jobs() -> None:
-    """At 4,000 machines going through all of them for each refused job took 4 of 10 seconds."""
+    """Guards against iterating all machines per refused job: 4 of 10 s with 4,000 machines."""
     rng = random.Random(2)
     rooms = [(float(rng.randrange(1, 4)), 0.0, 2.0) for _ in range(50)]
     occupants = [
         Occupant(f"a/{n}", 1, rng.choice(["red", "blue"]), 1, room, rng.uniform(0.0, 60.0), 0.5)
         for n, room in enumerate(rooms)
     ]
-    floor: Any = _Floor(occupants)
+    snapshot: Any = _CountingSnapshot(occupants)
     maxima: Any = SimpleNamespace(teams={})
     nothing: Any = None
-    making = Preemptor(floor, nothing, nothing, maxima, nothing, [], True)
+    preemptor = Preemptor(snapshot, nothing, nothing, maxima, nothing, [], True)
     for within_s in [0.0, *(rng.uniform(0.0, 70.0) for _ in range(100))]:
         for owner in ("red", "blue", "green"):
             ends = [
                 o.resources for o in occupants if o.owner == owner and o.remaining_s <= within_s
             ]
             plain = tuple(sum(room[part] for room in ends) for part in range(3))
-            assert making.resources_ending(owner, within_s) == pytest.approx(plain)
-    assert floor.asked == 1
+            assert preemptor.resources_ending(owner, within_s) == pytest.approx(plain)
+    assert snapshot.iterations == 1
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that no list named, one small case each; the seeded days draw them together."""
+"""Single failures of several parts, one small case each; seeded days combine them."""
 
 import asyncio
 from typing import Any
@@ -48,7 +48,10 @@
 
 
 def test_a_faulty_job_condemns_no_machine_and_a_faulty_machine_no_job() -> None:
-    """Both at once: what a sound job's success elsewhere proves decides."""
+    """A job that fails everywhere must not get machines returned, nor a bad machine fail jobs.
+
+    With both at once, the success of a sound job on another machine decides.
+    """
     log = OpLog(16 * 1024)
     sick, sound, third = (Machine(name, "small", "a", True, 0.0) for name in ("m1", "m2", "m3"))
     broken, good = _job("run-1", log, 40), _job("run-2", log, 40)
@@ -84,7 +87,7 @@
 
 
 def test_a_service_that_ran_gets_its_replicas_back_after_failures_on_two_machines() -> None:
-    """Nothing of a service is ever done: it must not pass for faulty all its life."""
+    """Tasks of a service never succeed, so failures must not mark it as faulty for ever."""
 
     async def story(world: World) -> None:
         leader, _ = _roles(world)
@@ -106,7 +109,7 @@
 
 
 def test_faulty_jobs_leave_room_and_machines_to_others() -> None:
-    """Few of a faulty job's 60 tasks are tried, and every sound job ends in time."""
+    """Few of a faulty job's 60 tasks are started, and sound jobs end in time."""
 
     async def story(world: World) -> None:
         leader, _ = _roles(world)
@@ -119,7 +122,7 @@
         while sum(name.startswith(good["nameId"]) for name in world.done) < 30:
             assert world.now < begun + 40.0
             await asyncio.sleep(0.5)
-        # After the first wave, one probe at a time with a pause that grows.
+        # After the first wave, one probe at a time with a growing delay.
         assert world.started - tried - 30 <= 8
         assert leader.term is not None
         assert all(machine.failures == 0 for machine in leader.term.fleet.machines.values())
@@ -129,7 +132,7 @@
 
 
 def test_a_silent_leader_costs_one_question_not_one_a_user() -> None:
-    """Its users are answered by the others, none after more than one time-out."""
+    """Other controllers answer for a frozen leader, with one time-out at most for a request."""
 
     async def story(world: World) -> None:
         leader, others = _roles(world)
@@ -146,14 +149,14 @@
         assert slow <= 3
         assert (await others[0].handle("GET", path, b""))[0] == 200
         await asyncio.sleep(70.0)
-        # The old leader has woken: it leads no more, and says nothing of its own.
+        # The old leader has resumed: it is no leader any more, unless it has the highest token.
         assert leader.term is None or leader.leadership.token == leader.leadership.highest_token
 
     tell(story, loss=0.0)
 
 
 def test_a_gang_that_two_machines_failed_is_probed_whole() -> None:
-    """One task of it alone never starts, so that it would wait for ever."""
+    """One task of a gang never starts alone, so probing by one task would wait for ever."""
     log = OpLog(16 * 1024)
     gang = Job(JobValue(spec(nameId="run-000001", tasks=3, shape="gang"), 0.0), 1, log)
     batch = _job("run-000002", log, 3)
@@ -169,9 +172,9 @@
 def test_a_leader_that_workers_cannot_reach_gets_their_reports(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No worker loses its lease, and new work starts while the cut lasts.
+    """Other controllers relay reports, so no worker loses its lease and new work starts.
 
-    Where nobody else could lead: it keeps the lead.
+    Handing over the lead is disabled by `UNFIT_S`, so the leader stays.
     """
     monkeypatch.setattr(constants, "UNFIT_S", 1e9)
 
@@ -190,7 +193,7 @@
         await asyncio.sleep(20.0)
         assert leader.leadership.may_act()
         assert all(worker.tenure == 1 and worker.alive for worker in first.values())
-        # Once the way is open again, the others need not carry reports for ever.
+        # Once the leader is reachable again, workers stop using relays.
         await asyncio.sleep(2 * constants.RELAY_S)
         assert {worker.target for worker in world.workers.values()} == {member}
 
@@ -210,7 +213,7 @@
         begun = world.now
         answers = [status for status, _ in await asyncio.gather(*asked)]
         assert set(answers) == {404, 503}
-        assert world.now - begun < 2.0  # what can't be answered is refused, not kept
+        assert world.now - begun < 2.0  # requests that can't be answered are refused, not queued
         assert node.ledger.requests.level() > 0.25 * node.ledger.requests.burst
         assert world.store.refused_calls == 0
 
@@ -256,9 +259,10 @@
 
 
 def test_a_second_record_of_a_job_does_not_end_the_lead() -> None:
-    """Found in an incident: a slow leader's submissions were committed by others, too.
+    """Other controllers may commit a slow leader's submissions, too.
 
-    It took their keys for a rival's writing and stepped down, again and again.
+    Guards against the leader taking their keys for a rival's writes and stepping down again
+    and again, as happened in an incident.
     """
 
     async def story(world: World) -> None:
@@ -269,7 +273,7 @@
         add = leader.term.registry.add
 
         def late(*args: Any, observe: bool, **more: Any) -> None:
-            if not observe or "batch" in more:  # what the watch tells comes too late
+            if not observe or "batch" in more:  # the events of the watch come too late
                 add(*args, observe=observe, **more)
 
         leader.term.registry.add = late  # type: ignore[method-assign]
@@ -291,7 +295,7 @@
 def test_operations_written_after_a_jobs_end_do_not_end_the_lead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found in an incident: a huge job was aborted with more operations than one value holds."""
+    """A huge job may be aborted with more operations than one value holds, as in an incident."""
     monkeypatch.setattr(constants, "SEGMENTS_KEPT", 0)
     monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
 
@@ -358,7 +362,7 @@
     assert boots.is_unreliable(POOL, 30.0, births, 80.0)
     for born in births:
         boots.record_failed_boot(POOL, born)
-    assert boots.is_unreliable(POOL, 30.0, [], 100.0)  # returned, and still they speak against it
+    assert boots.is_unreliable(POOL, 30.0, [], 100.0)  # returned machines still count as failures
     boots.record_boot(POOL, 70.0, 101.0, 30.0)
     assert not boots.is_unreliable(POOL, 30.0, [], 101.0)
     assert not BootTimes().is_unreliable(POOL, 30.0, [], 1e9)
@@ -371,7 +375,7 @@
 
 
 def test_every_waiting_task_has_a_reason() -> None:
-    """Standing work never stays unexplained, with and without a lease."""
+    """Every waiting task is counted under a reason, with and without a valid lease."""
 
     async def story(world: World) -> None:
         world.cloud.rooms = dict.fromkeys(world.cloud.rooms, 0)
@@ -404,7 +408,7 @@
 
 
 def test_comparing_trusts_only_what_is_named() -> None:
-    """An answer that names the first failed key only must not pass for the others' absence."""
+    """A store may name only the first failed key; the other keys must not count as absent."""
 
     async def story(world: World) -> None:
         _, others = _roles(world)
@@ -425,7 +429,7 @@
 
 
 def test_a_huge_job_and_hundreds_of_tiny_ones_survive_a_takeover_within_the_limits() -> None:
-    """100,000 tasks of one job, and 300 one-task jobs in a quarter of a minute, of a guest."""
+    """A job of 100,000 tasks, and 300 one-task jobs in a quarter of a minute, of a guest team."""
 
     async def story(world: World) -> None:
         leader, _ = _roles(world)
@@ -452,7 +456,7 @@
         before = world.started
         await asyncio.sleep(15.0)
         assert world.started > before + 20
-        # The store checks each value and commit, and refuses what is over the rates.
+        # The store checks the size of values and commits, and refuses calls over the rates.
         assert world.store.refused_calls == 0
 
     tell(story, loss=0.0)
@@ -462,8 +466,8 @@
 def test_a_slow_commit_holds_up_neither_submissions_nor_what_runs(
     in_a_row: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found on a fleet day: behind one commit of two seconds each submission waited."""
-    if in_a_row:  # as it was
+    """Guards against all submissions waiting behind a single commit of two seconds."""
+    if in_a_row:  # one lane without hedged commits shows the failure
         monkeypatch.setattr(constants, "ADMIT_LANES", 1)
         monkeypatch.setattr(constants, "HEDGE_TIMES", 1e9)
     took: list[float] = []
@@ -496,9 +500,10 @@
 
 @pytest.mark.parametrize("names_all", [True, False])
 def test_a_copy_that_was_applied_is_never_taken_for_refused(names_all: bool) -> None:
-    """A submission's commit is applied, its answer lost, and another node's record comes.
+    """A submission's commit is applied, its answer is lost, and another node's record appears.
 
-    Taken for known, its batch would stay for ever and bring the job back after its end.
+    If the leader took the commit for refused, its batch would stay in the store for ever and
+    bring the job back after its end.
     """
 
     async def story(world: World) -> None:
