--- a/src/chalkgrade/renting/plan.py
+++ b/src/chalkgrade/renting/plan.py
@@ -39,9 +39,9 @@
     doesn't need an operation for each.
     """
 
-    def __init__(self, have: Iterable[MachineCapacity]) -> None:
+    def __init__(self, capacities: Iterable[MachineCapacity]) -> None:
         counts: dict[tuple[Pool, float], int] = {}
-        for machine in have:
+        for machine in capacities:
             for free, cpus in machine.free_cpus:
                 key = machine.pool, round_up_to_step(free)
                 counts[key] = counts.get(key, 0) + cpus
@@ -136,7 +136,7 @@
 
     def __init__(
         self,
-        have: Iterable[MachineCapacity],
+        capacities: Iterable[MachineCapacity],
         flavors: dict[str, Flavor],
         blocked: Iterable[Pool],
         boots: BootTimes,
@@ -144,7 +144,7 @@
         headroom: Mapping[str, Headroom],
     ) -> None:
         self.rented: dict[Pool, int] = {}
-        self._machines = list(have)
+        self._machines = list(capacities)
         self._timelines = _CpuTimelines(self._machines)
         self._flavors = flavors
         self._closed_pools = set(blocked)
@@ -205,8 +205,8 @@
     def _rent_for_gang(self, need: RentalNeed, usable: list[Pool]) -> None:
         """Rents machines until all the gang's tasks fit at once, as they can't run in turns."""
         spec = need.spec
-        rooms = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
-        missing = need.tasks - sum(tasks_per_machine(spec, room) for room in rooms)
+        machine_flavors = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
+        missing = need.tasks - sum(tasks_per_machine(spec, flavor) for flavor in machine_flavors)
         while missing > 0:
             offer = _cheapest_offer(spec, missing, float("inf"), self._flavors, self._closed_pools)
             if offer is None:
@@ -285,7 +285,7 @@
 
 def plan_rentals(
     needs: Iterable[RentalNeed],
-    have: Iterable[MachineCapacity],
+    capacities: Iterable[MachineCapacity],
     flavors: dict[str, Flavor],
     blocked: Iterable[Pool],
     boots: BootTimes | None = None,
@@ -302,7 +302,7 @@
     not rented from.
     """
     plan = RentalPlan(
-        have, flavors, blocked, boots or BootTimes(), report or PlanReport(), headroom or {}
+        capacities, flavors, blocked, boots or BootTimes(), report or PlanReport(), headroom or {}
     )
     for need in needs:
         plan.add(need)
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -87,10 +87,10 @@
             present = [
                 m for m in self.fleet.machines.values() if m.status == "running" or m.attempts
             ]
-            heard = sum(machine.reported_at is not None for machine in present)
+            reported_count = sum(machine.reported_at is not None for machine in present)
             self.has_enough_reports = (
                 self.clock.now() - self.started_at > constants.NEW_TERM_S
-                or 0 < constants.NEW_TERM_PART * len(present) <= heard
+                or 0 < constants.NEW_TERM_PART * len(present) <= reported_count
             )
         return self.has_enough_reports
 
@@ -128,11 +128,11 @@
         """Refreshes flavors and the machine list, returns machines, and rents, in a loop."""
         flavors_at = -1e9
         while True:
-            began = self.clock.now()
+            cycle_began = self.clock.now()
             try:
-                if began - flavors_at > constants.FLAVORS_EVERY_S:
+                if cycle_began - flavors_at > constants.FLAVORS_EVERY_S:
                     await self._refresh_flavors()
-                    flavors_at = began
+                    flavors_at = cycle_began
                 await self._refresh_machines()
                 if self.is_serving():
                     await self._release_machines()
@@ -140,7 +140,7 @@
                         await self._rent_machines()
             except NoAnswer as error:
                 log.info("cloud call failed: %s", error)
-            pause = max(0.3, constants.LIST_EVERY_S - (self.clock.now() - began))
+            pause = max(0.3, constants.LIST_EVERY_S - (self.clock.now() - cycle_began))
             self.plan_requested.clear()
             try:
                 async with asyncio.timeout(pause):
@@ -325,10 +325,16 @@
             self.has_waiting_work = bool(needs)
             if needs:
                 excluded = [*closed_pools, *self.pending_rentals]
-                have, ends = self._machine_capacities(now)
-                room = self.waiting_work.team_headroom(ends)
+                capacities, ends = self._machine_capacities(now)
+                headroom = self.waiting_work.team_headroom(ends)
                 planned_by_pool = plan_rentals(
-                    needs, have, self.flavors, excluded, self.boot_times, self.report, room
+                    needs,
+                    capacities,
+                    self.flavors,
+                    excluded,
+                    self.boot_times,
+                    self.report,
+                    headroom,
                 )
                 for pool, planned in planned_by_pool.items():
                     count = min(planned, constants.BOOT_PROBES) if pool in unreliable else planned
@@ -367,13 +373,13 @@
             for pool in (
                 (flavor.sku, site, spot) for site in flavor.sites for spot in SPOT_OPTIONS
             ):
-                births = booting.get(pool, [])
-                if not self.boot_times.is_unreliable(pool, flavor.bootS, births, now):
+                rental_times = booting.get(pool, [])
+                if not self.boot_times.is_unreliable(pool, flavor.bootS, rental_times, now):
                     continue
                 unreliable.add(pool)
                 if any(
-                    not self.boot_times.is_overdue(pool, flavor.bootS, now - born)
-                    for born in births
+                    not self.boot_times.is_overdue(pool, flavor.bootS, now - rented_at)
+                    for rented_at in rental_times
                 ):
                     probing.append(pool)
         if unreliable != self.unreliable_pools:
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -146,14 +146,14 @@
     """Mutation: a leader ignores machines that it did not rent itself."""
     plain = Fleet.accept_report
 
-    def take(self: Fleet, report: Any) -> Any:
+    def accept_own(self: Fleet, report: Any) -> Any:
         known = self.machines.get(report.host)
         return plain(self, report) if known is not None and known.rented_this_term else None
 
     async def refresh(self: Renter) -> None:
         pass
 
-    patch.setattr(Fleet, "accept_report", take)
+    patch.setattr(Fleet, "accept_report", accept_own)
     patch.setattr(Renter, "_refresh_machines", refresh)
 
 
--- a/tests/test_team_at_its_maximum.py
+++ b/tests/test_team_at_its_maximum.py
@@ -3,8 +3,9 @@
 Two failures are guarded against. First, a rental plan placed the tasks that the maximum allowed
 at that moment on CPUs that the team's own running tasks were about to release, and did not count
 the tasks that the maximum would let start in their place. It rented nothing: with 35 of 48
-machines up, each plan read "nightly: wants 3,500 CPUs and more, may start 26; on free 0, soon 26,
-rented 0", 13 machines were not rented and the team got less than half of the possible capacity.
+machines up, each plan from 110 to 150 s read "nightly: wants 3,500 CPUs and more, may start 26; on
+free 0, soon 26, rented 0", 13 machines were not rented and the team got less than half of the
+possible capacity.
 
 Second, the guard against starvation started a job's tasks, and urgent work of the same team,
 refused at the maximum, stopped them in the same second: a job of 34 tasks was started 413 times
