--- a/src/chalkgrade/latest.py
+++ b/src/chalkgrade/bounded_dict.py
@@ -6,14 +6,14 @@
 V = TypeVar("V")
 
 
-class Latest(dict[K, V]):
+class BoundedDict(dict[K, V]):
     """Entries in the order in which they came; beyond `most` the oldest go."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
-        self.most = most
+        self.max_entries = most
 
     def __setitem__(self, key: K, value: V) -> None:
         super().__setitem__(key, value)
-        while len(self) > self.most:
+        while len(self) > self.max_entries:
             del self[next(iter(self))]
--- a/src/chalkgrade/cli.py
+++ b/src/chalkgrade/cli.py
@@ -11,47 +11,47 @@
 
 from chalkgrade import __version__
 from chalkgrade.extensions import subsystems
-from chalkgrade.logs import LEVELS, set_up
-from chalkgrade.settings import Settings, SettingsError, load
+from chalkgrade.logs import LOG_LEVELS, configure_logging
+from chalkgrade.settings import Settings, SettingsError, load_settings
 
 
-def _fail(text: object) -> None:
+def _exit_with_error(text: object) -> None:
     """One plain line, and the exit code of wrong usage."""
     click.echo(f"chalkgrade: {text}", err=True)
     sys.exit(2)
 
 
-def _level(usual: str) -> str:
+def _log_level(usual: str) -> str:
     """What LOG_LEVEL says, or what is usual where it says nothing."""
     level = os.environ.get("LOG_LEVEL", usual).lower()
-    if level not in LEVELS:
-        _fail(f"LOG_LEVEL: {level!r} is not one of {', '.join(LEVELS)}")
+    if level not in LOG_LEVELS:
+        _exit_with_error(f"LOG_LEVEL: {level!r} is not one of {', '.join(LOG_LEVELS)}")
     return level
 
 
-def _load(config: str, files: dict[str, str | None]) -> Settings:
+def _load_or_exit(config: str, files: dict[str, str | None]) -> Settings:
     try:
         own = files["operator_settings"]
-        settings = load(Path(config), Path(own) if own else None)
+        settings = load_settings(Path(config), Path(own) if own else None)
         subsystems.read_settings(settings, files)
         return settings
     except SettingsError as error:
-        _fail(error)
+        _exit_with_error(error)
         raise AssertionError from error
 
 
 # Files beside the platform's own: option, and what it is for.
-FILES = {
+SETTINGS_FILE_OPTIONS = {
     "--operator-settings": "The operators' own settings (XML), optional.",
     **{f"--{row.name}": row.purpose for row in subsystems.SUBSYSTEMS},
 }
 
 
-def _files(required: bool) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
+def _settings_file_options(required: bool) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
     """The options that name the settings' files."""
 
     def add(command: Callable[..., Any]) -> Callable[..., Any]:
-        for option, purpose in reversed(FILES.items()):
+        for option, purpose in reversed(SETTINGS_FILE_OPTIONS.items()):
             variable = "CHALKGRADE" + option.upper().replace("--", "_").replace("-", "_")
             command = click.option(option, envvar=variable, metavar="FILE", help=purpose)(command)
         return click.option(
@@ -63,7 +63,7 @@
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="chalkgrade")
-@_files(required=False)
+@_settings_file_options(required=False)
 @click.option("--check", "only_check", is_flag=True, help="As the command `check`.")
 @click.pass_context
 def main(
@@ -84,22 +84,22 @@
 
 
 @main.command()
-@_files(required=True)
+@_settings_file_options(required=True)
 def serve(config: str, **files: str | None) -> None:
     """Run one controller until it is killed."""
-    level = _level("info")
-    settings = _load(config, files)
-    set_up(level, settings.operator.log_format)
+    level = _log_level("info")
+    settings = _load_or_exit(config, files)
+    configure_logging(level, settings.operator.log_format)
     from chalkgrade.serving.daemon import run  # the server's imports are not needed for `check`
 
     run(settings)
 
 
 @main.command()
-@_files(required=True)
+@_settings_file_options(required=True)
 def check(config: str, **files: str | None) -> None:
     """Check the settings, print a summary and leave."""
-    settings = _load(config, files)
+    settings = _load_or_exit(config, files)
     cluster = settings.cluster
     click.echo(
         f"{settings.member}: settings are good: {len(settings.others)} peers, "
@@ -108,7 +108,7 @@
     )
 
 
-def _print(found: dict[str, Any], as_json: bool) -> None:
+def _print_figures(found: dict[str, Any], as_json: bool) -> None:
     """Figures as one JSON object, or a line each."""
     if as_json:
         click.echo(msgspec.json.encode(found))
@@ -135,11 +135,11 @@
     try:
         found = days.read(Path(day))
     except SettingsError as error:
-        _fail(error)
+        _exit_with_error(error)
         raise AssertionError from error
-    set_up(_level("error"), "plain")
+    configure_logging(_log_level("error"), "plain")
     told = figures(*play_day(found, seed))
-    _print(told, as_json)
+    _print_figures(told, as_json)
     sys.exit(0 if told["verdict"] == "ok" else 1)
 
 
@@ -159,15 +159,19 @@
     """Measure something in the simulated region; figures are of simulated machines."""
     import importlib
 
-    set_up(_level("error"), "plain")
+    configure_logging(_log_level("error"), "plain")
     try:
         module = importlib.import_module(f"chalkgrade.experiments.{name}")
         if seeds != 1 and (seeds < 1 or not hasattr(module, "summary")):
-            _fail(f"experiment: --seeds {seeds}: must be 1 or more, and {name} to sum up")
+            _exit_with_error(
+                f"experiment: --seeds {seeds}: must be 1 or more, and {name} to sum up"
+            )
         found = module.run(seed)
         if seeds > 1:
             rest = [module.play(one) for one in range(seed + 1, seed + seeds)]
             found = module.summary([found, *rest])
     except ModuleNotFoundError as error:
-        _fail(f"experiment: no library {error.name!r}; the extra `experiments` brings it")
-    _print(found, as_json)
+        _exit_with_error(
+            f"experiment: no library {error.name!r}; the extra `experiments` brings it"
+        )
+    _print_figures(found, as_json)
--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -67,8 +67,16 @@
     """Without the package's effects: leases of one length, all campaign at once, no report
     is kept for the next leader, nobody is suspected, no lead is handed over, and no work is
     placed before a machine has shown the new token."""
-    names = {"LEASE_LEAST_S": constants.LEASE_TTL_S, "LEADER_HOLD_S": 0.0, "SUSPECT_S": 3.5}
-    names |= {"UNFIT_S": 1e9, "CAMPAIGN_STEP_S": 0.0, "NEW_TERM_S": 0.0}
+    names = {
+        "MIN_LEADER_LEASE_S": constants.MAX_LEADER_LEASE_S,
+        "NO_LEADER_REPORT_HOLD_S": 0.0,
+        "SUSPICION_TIMEOUT_S": 3.5,
+    }
+    names |= {
+        "UNHEALTHY_LEADER_TIMEOUT_S": 1e9,
+        "CAMPAIGN_STAGGER_S": 0.0,
+        "NEW_TERM_RENTAL_DELAY_S": 0.0,
+    }
     plain = {name: getattr(constants, name) for name in names}
     for name, value in names.items():
         setattr(constants, name, value)
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -314,14 +314,14 @@
     )
     took, looks = 0.0, 0
     while looks < 12:
-        clock.at += constants.MOVE_RETRY_S
+        clock.at += constants.MOVE_SEARCH_RETRY_INTERVAL_S
         for machine in fleet.machines.values():
             machine.reported_at = clock.at
         moves.gate.begin_round(jobs.values(), clock.at)
         began = time.process_time()
         moves._look()
         took, looks = took + time.process_time() - began, looks + 1
-        if len(moves.value.plans) >= constants.MOVE_PLANS:
+        if len(moves.value.plans) >= constants.MAX_CONCURRENT_MOVE_PLANS:
             break
     return {
         "look_ms": round(1000 * took / looks, 1),
--- a/src/chalkgrade/extensions/subsystems.py
+++ b/src/chalkgrade/extensions/subsystems.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from chalkgrade.settings import Settings, named
+from chalkgrade.settings import Settings, read_settings_file
 
 
 class Subsystem(NamedTuple):
@@ -38,7 +38,7 @@
         path = files.get(row.name)
         if path:
             reading = partial(_module(row.name, "settings").read, platform=settings)
-            settings.parts[row.name] = named(Path(path), reading)
+            settings.parts[row.name] = read_settings_file(Path(path), reading)
 
 
 def create_components(settings: Settings, joint: Any) -> Iterable[Any]:
--- a/src/chalkgrade/leading/failures.py
+++ b/src/chalkgrade/leading/failures.py
@@ -4,7 +4,7 @@
 
 from chalkgrade import constants
 from chalkgrade.extensions.components import Component
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.outside import Clock
 from chalkgrade.record.jobs import Attempt
@@ -34,17 +34,17 @@
             if job.is_faulty or cause == "unknown":
                 # Tasks that already ran can all fail at the same moment, which counts as one
                 # failure. Probes run one at a time, so each failed probe doubles the delay.
-                pause = constants.JOB_BACKOFF_S * 2 ** min(
+                pause = constants.MIN_JOB_BACKOFF_S * 2 ** min(
                     8, job.failed_probes if not job.live else 0
                 )
-                job.retry_at = self._clock.now() + min(constants.JOB_BACKOFF_MAX_S, pause)
+                job.retry_at = self._clock.now() + min(constants.MAX_JOB_BACKOFF_S, pause)
             log.info(
                 "attempt failed: %s on %s: %s%s",
                 attempt.name,
                 machine.name,
                 cause,
                 ", the job is held for faulty" if job.is_faulty else "",
-                extra=about(self._token, job.name, machine.name, attempt.label),
+                extra=decision_fields(self._token, job.name, machine.name, attempt.label),
             )
         elif cause == "no_room":
             # The free resources assumed here were wrong: place nothing until the next report.
--- a/src/chalkgrade/leading/hints.py
+++ b/src/chalkgrade/leading/hints.py
@@ -39,7 +39,11 @@
 
 def gather_hints(term_context: TermContext, renter: Renter) -> Hints:
     """Collects the hints of the current term, with a bounded number of entries of each kind."""
-    clock, fleet, most = term_context.context.clock, term_context.fleet, constants.HINTS_EACH
+    clock, fleet, most = (
+        term_context.context.clock,
+        term_context.fleet,
+        constants.MAX_HINTS_PER_KIND,
+    )
     now, shift = clock.now(), clock.wall() - clock.now()
     out = Hints(term_context.context.token, clock.wall())
     out.ratios, out.never = renter.boots.told(shift)
@@ -68,7 +72,7 @@
     clock, fleet, jobs = term_context.context.clock, term_context.fleet, term_context.registry.jobs
     shift = clock.now() - clock.wall()
     renter.boots.hear(hints.ratios, hints.never, shift)
-    latest = clock.now() + constants.REFUSED_S
+    latest = clock.now() + constants.REFUSED_POOL_PAUSE_S
     renter.blocked |= {pool: min(latest, until + shift) for pool, until in hints.refused}
     for name, pool, rented_at in hints.booting:
         machine = fleet.get_or_add(name, *pool)
@@ -109,5 +113,9 @@
     def usable_hints(self, token: int, wall: float) -> Iterable[Hints]:
         """Yields the hints of an earlier term if they are recent enough to be used."""
         hints = self.received
-        if hints is not None and hints.token < token and wall - hints.at < constants.HINTS_AGE_S:
+        if (
+            hints is not None
+            and hints.token < token
+            and wall - hints.at < constants.MAX_HINTS_AGE_S
+        ):
             yield hints
--- a/src/chalkgrade/leading/reports.py
+++ b/src/chalkgrade/leading/reports.py
@@ -63,7 +63,10 @@
         self._reconcile(machine)
         if self.is_serving():
             await self._wait_for_decisions(
-                machine, constants.RELAY_HOLD_S if relayed else constants.IDLE_HOLD_S
+                machine,
+                constants.RELAYED_IDLE_RESPONSE_HOLD_S
+                if relayed
+                else constants.IDLE_RESPONSE_HOLD_S,
             )
         if not self.leadership.may_renew_workers() or self.leadership.token != self.context.token:
             return 421, {}
@@ -90,13 +93,13 @@
         """
         machine.open_reports += 1
         try:
-            deadline = self.clock.now() + constants.ANSWER_HOLD_S
+            deadline = self.clock.now() + constants.COMMITTED_RESPONSE_HOLD_S
             if self.scheduling.wants_work(machine):
                 self.scheduling.round_requested.set()
                 await self.scheduling.round_finished.wait(deadline - self.clock.now())
             if not machine.attempts and not machine.tasks and self.fleet.usable(machine):
                 await machine.work_assigned.wait(idle_s)
-                deadline = self.clock.now() + constants.ANSWER_HOLD_S
+                deadline = self.clock.now() + constants.COMMITTED_RESPONSE_HOLD_S
             while self.is_serving() and not all(a.is_durable for a in machine.attempts.values()):
                 if not await self.registry.committed.wait(deadline - self.clock.now()):
                     return
@@ -145,13 +148,13 @@
             if spec.shape == "service" and attempt.running_since:
                 # Otherwise failures on two broken machines during its life would leave the
                 # service short of replicas for good.
-                attempt.job.has_run_long |= now - attempt.running_since > constants.PROVEN_RUN_S
+                attempt.job.has_run_long |= now - attempt.running_since > constants.MIN_PROVEN_RUN_S
             elif attempt.job.is_faulty:
                 # Two machines that break at the same time must not hold back a sound job for the
                 # length of a run.
                 live = attempt.job.live.values()
                 ran = sum(
-                    bool(a.running_since) and now - a.running_since > constants.PROVEN_RUN_S
+                    bool(a.running_since) and now - a.running_since > constants.MIN_PROVEN_RUN_S
                     for a in live
                 )
                 attempt.job.probe_limit = max(1, 2 * ran)
--- a/src/chalkgrade/leading/scheduling.py
+++ b/src/chalkgrade/leading/scheduling.py
@@ -99,7 +99,10 @@
                 pass
             self.round_requested.clear()
             began = self.clock.now()
-            if not self.is_serving() and began - self.status_logged_at >= constants.TELL_EVERY_S:
+            if (
+                not self.is_serving()
+                and began - self.status_logged_at >= constants.STATUS_LOG_INTERVAL_S
+            ):
                 self.status_logged_at = began
                 log.warning(
                     "scheduling suspended: %s", format_wait_reasons(self.standing()) or "no lease"
@@ -117,11 +120,13 @@
             self.round_finished.fire()
             # After a long round the loop sleeps in proportion, to leave time for reports and users.
             took = self.clock.now() - began
-            await asyncio.sleep(max(constants.ROUND_MIN_S, constants.ROUND_REST * took))
+            await asyncio.sleep(
+                max(constants.MIN_ROUND_INTERVAL_S, constants.ROUND_PAUSE_RATIO * took)
+            )
 
     def _run_round(self, now: float) -> None:
         """Runs one scheduling round on the machines that report (steps 4 to 7 of the protocol)."""
-        preempt = now - self.preempted_at >= constants.PREEMPT_EVERY_S
+        preempt = now - self.preempted_at >= constants.PREEMPTION_INTERVAL_S
         if preempt:
             self.preempted_at = now
         plan = SchedulingRound(
@@ -137,7 +142,7 @@
         placed = plan.run()
         if placed or plan.preempted_count:
             log.debug("round finished: placed %d, stopping %d", placed, plan.preempted_count)
-        if now - self.status_logged_at >= constants.TELL_EVERY_S:
+        if now - self.status_logged_at >= constants.STATUS_LOG_INTERVAL_S:
             self.status_logged_at = now
             self._log_status()
 
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -19,7 +19,7 @@
 from chalkgrade.leading.hints import HintExchange, apply_hints, gather_hints
 from chalkgrade.leading.reports import ReportHandler
 from chalkgrade.leading.scheduling import RoundScheduler
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Machine, Report
 from chalkgrade.outside import Http, NoAnswer, Signal
@@ -73,7 +73,7 @@
         )
         self.renter = Renter(term_context, cloud, self._on_attempt_lost, self._max_demand)
         self.renter.coming = lambda: self.pipelines.graph.coming(
-            self.queues.remaining_makespan_s, constants.COMING_S
+            self.queues.remaining_makespan_s, constants.UPCOMING_WORK_HORIZON_S
         )
         self.scheduling = RoundScheduler(term_context, self._expire_leases, self.renter.refused)
         self.reports = ReportHandler(
@@ -124,19 +124,22 @@
                 await self._load()
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
                 log.warning("loading the record failed, retrying: %s", error)
-                await asyncio.sleep(constants.STATE_PAUSE_S)
-        writing = [self.writer.run_main_lane, *[self.writer.run_admissions] * constants.ADMIT_LANES]
+                await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
+        writing = [
+            self.writer.run_main_lane,
+            *[self.writer.run_admissions] * constants.ADMISSION_LANE_COUNT,
+        ]
         self._spawn([self.registry.watch_submissions, self.writer.wait_for_stall, *writing], True)
         for component in self.components:
             self._spawn(component.durable_loops, True)
             self._spawn(component.decision_loops, False)
-        if constants.HINTS_PEERS:
+        if constants.HINTS_PEER_COUNT:
             self._spawn([self._publish_hints], False)
 
     async def _publish_hints(self) -> None:
         """Sends the term's hints periodically to the controllers that would lead next."""
         while True:
-            await asyncio.sleep(constants.HINTS_EVERY_S)
+            await asyncio.sleep(constants.HINTS_INTERVAL_S)
             if self.is_serving():
                 await self.hint_exchange.publish(gather_hints(self.term_context, self.renter))
 
@@ -167,7 +170,7 @@
             if fatal:
                 self.leadership.step_down()
                 return
-            await asyncio.sleep(constants.ROUND_S)
+            await asyncio.sleep(constants.MAX_ROUND_INTERVAL_S)
 
     async def _load(self) -> None:
         self.fleet.machines.clear()
@@ -232,7 +235,7 @@
                 value = await dependency_lists.store_if_too_long(self.context.ledger, value)
             except Conflict:
                 return False  # the job is already over
-        return await self.registry.admit(value, constants.PEER_TIMEOUT_S)
+        return await self.registry.admit(value, constants.PEER_REQUEST_TIMEOUT_S)
 
     async def abort(self, name: str) -> str | None:
         """Aborts a job and returns its final state, or None if the record does not have it.
@@ -298,7 +301,9 @@
         if cause:
             self.ended_by_cause[cause] += 1
         if log.isEnabledFor(logging.DEBUG):
-            what = about(self.context.token, attempt.job.name, attempt.machine, attempt.label)
+            what = decision_fields(
+                self.context.token, attempt.job.name, attempt.machine, attempt.label
+            )
             log.debug(
                 "attempt ended: %s on %s: %s",
                 attempt.label,
@@ -327,7 +332,7 @@
                     "machine lease over: %s: %d attempts lost",
                     machine.name,
                     len(lost),
-                    extra=about(self.context.token, machine=machine.name),
+                    extra=decision_fields(self.context.token, machine=machine.name),
                 )
             for attempt in lost:
                 self._on_attempt_ended(machine, attempt, "")
--- a/src/chalkgrade/licences/seats.py
+++ b/src/chalkgrade/licences/seats.py
@@ -4,7 +4,7 @@
 record, by the rules of absence that hold for attempts anyway. At the beginning of
 each round the free seats are *allotted*: urgency first, within one the team with the
 least share of the pools it asks for, within a team in order of arrival. An allotment
-is a right of way, not a holding: who can't use it for `SEAT_CLAIM_S` lets others by.
+is a right of way, not a holding: who can't use it for `SEAT_CLAIM_PERIOD_S` lets others by.
 """
 
 import heapq
@@ -123,7 +123,7 @@
         return [
             job
             for job in jobs
-            if self._now - self._denied.get(job, self._now) > constants.SEAT_STARVES_S
+            if self._now - self._denied.get(job, self._now) > constants.SEAT_STARVATION_WAIT_S
             and _unit(job) * sum(seats for _, seats in self._mine[job]) > 1
         ]
 
@@ -191,7 +191,7 @@
         By turns, since the room may come: for so long it has the right, for so long not.
         """
         gone = self._now - self._since.get(job, self._now)
-        return gone % (2 * constants.SEAT_CLAIM_S) >= constants.SEAT_CLAIM_S
+        return gone % (2 * constants.SEAT_CLAIM_PERIOD_S) >= constants.SEAT_CLAIM_PERIOD_S
 
     def _stoppable(self, job: Job) -> bool:
         """Whether anybody less urgent, or of another team, holds what the job lacks."""
@@ -268,13 +268,18 @@
         needs = self._mine.get(job)
         waited = self.queues.clock.wall() - job.eligible_at
         slack = self.queues.slack_s(job)
-        if needs is None or not stops.preempt or slack < 0 or waited <= constants.PREEMPT_WAIT_S:
+        if (
+            needs is None
+            or not stops.preempt
+            or slack < 0
+            or waited <= constants.MIN_PREEMPTION_WAIT_S
+        ):
             return
         if job in self._tried or not self._stoppable(job):
             return
         self._tried.add(job)
-        late = max(constants.PREEMPT_WAIT_S, slack)
-        tasks = max(_unit(job), min(len(job.waiting), constants.SEAT_STOPS))
+        late = max(constants.MIN_PREEMPTION_WAIT_S, slack)
+        tasks = max(_unit(job), min(len(job.waiting), constants.MAX_TASKS_GIVEN_FREED_SEATS))
         chosen: dict[Attempt, None] = {}
         for pool, seats in needs:
             missing = seats * tasks - max(0, self.free[pool])
@@ -312,7 +317,7 @@
                 del self._stops[attempt]  # under way, or wanted for another reason
                 continue
             needs = self._mine.get(job, ())
-            tasks = min(job.startable_count, max(_unit(job), constants.SEAT_STOPS))
+            tasks = min(job.startable_count, max(_unit(job), constants.MAX_TASKS_GIVEN_FREED_SEATS))
             if all(self.free[pool] >= seats * tasks for pool, seats in needs):
                 attempt.kill_requested_at = None
                 del self._stops[attempt]
--- a/src/chalkgrade/licences/settings.py
+++ b/src/chalkgrade/licences/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.settings import Settings, SettingsError, number, read_xml, split_addr
+from chalkgrade.settings import Settings, SettingsError, parse_number, read_xml, split_addr
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
 POOL = ("name", "seats", "server", "holder", "timeout_s", "rps")
@@ -70,7 +70,7 @@
 
 
 def _seats(field: str, text: str | None) -> int:
-    value = number(field, text, 1, SEATS_MAX)
+    value = parse_number(field, text, 1, SEATS_MAX)
     if value != int(value):
         raise SettingsError(f"{field}: must be a whole number, is {value:g}")
     return int(value)
@@ -89,9 +89,9 @@
         if not NAME.match(found["holder"]):
             raise SettingsError(f"pool.holder: {found['holder']!r} is not a name")
         values["holder"] = found["holder"]
-    for field, low in (("timeout_s", constants.SEAT_TIMEOUT_MIN_S), ("rps", 0.5)):
+    for field, low in (("timeout_s", constants.MIN_SEAT_LEASE_S), ("rps", 0.5)):
         if field in found:
-            values[field] = number(f"pool.{field}", found[field], low, 86400.0)
+            values[field] = parse_number(f"pool.{field}", found[field], low, 86400.0)
     return msgspec.convert(values, LicencePool)
 
 
--- a/src/chalkgrade/licences/stock.py
+++ b/src/chalkgrade/licences/stock.py
@@ -19,7 +19,7 @@
 from chalkgrade.licences.needs import Needs
 from chalkgrade.licences.seats import Usable
 from chalkgrade.licences.settings import LicencePool
-from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
+from chalkgrade.outside import Clock, Http, NoAnswer, TokenBucket, decode_response, encode
 
 log = logging.getLogger("chalkgrade.licences")
 
@@ -63,7 +63,7 @@
         self.clock = clock
         self.rng = rng
         self.wanted = wanted  # seats that our tasks use or would use now
-        self.budget = Bucket(clock, pool.rps, pool.rps)
+        self.budget = TokenBucket(clock, pool.rps, pool.rps)
         self.sure: dict[str, float] = {}  # name -> until when it is surely ours
         self.asked: dict[str, None] = {}  # names whose checkout may have been executed
         self.surplus_since: float | None = None
@@ -79,17 +79,19 @@
     def usable(self) -> Usable:
         now = self.clock.now()
         mine = sum(until > now for until in self.sure.values())
-        return Usable(mine, now - self.told_at < constants.SEAT_STALE_S)
+        return Usable(mine, now - self.told_at < constants.SEAT_SERVER_STALE_S)
 
     async def _call(self, what: str, names: list[str] | None) -> bytes:
         """One request; NoAnswer for anything but a usable answer, and for a refusal, too."""
-        await self.budget.wait()
+        await self.budget.acquire()
         path = f"/pools/{self.pool.name}" + (f"/{what}" if what else "")
         body = None
         if names is not None:
             body = encode({"holder": self.pool.holder, "fence": self.token, "names": names})
         method = "GET" if names is None else "POST"
-        reply = await self.http.call(self.pool.server, method, path, body, constants.SEAT_TIMEOUT_S)
+        reply = await self.http.call(
+            self.pool.server, method, path, body, constants.SEAT_REQUEST_TIMEOUT_S
+        )
         kind = f"{what or 'status'} {reply.status}"
         self.counts[kind] = self.counts.get(kind, 0) + 1
         if reply.status != 200:
@@ -99,7 +101,9 @@
     async def run(self) -> None:
         """Bring what is held to what is wanted, for ever."""
         while True:
-            await asyncio.sleep(max(constants.SEAT_STEP_S, self.next_at - self.clock.now()))
+            await asyncio.sleep(
+                max(constants.SEAT_SERVER_STEP_INTERVAL_S, self.next_at - self.clock.now())
+            )
             try:
                 await self.step()
                 self.pause = 0.0
@@ -109,13 +113,15 @@
 
     def backoff(self) -> None:
         """Come back later each time, not all at once."""
-        self.pause = min(constants.SEAT_PAUSE_MAX_S, max(constants.SEAT_PAUSE_S, 2 * self.pause))
+        self.pause = min(
+            constants.MAX_SEAT_RETRY_PAUSE_S, max(constants.MIN_SEAT_RETRY_PAUSE_S, 2 * self.pause)
+        )
         self.next_at = self.clock.now() + self.pause * self.rng.uniform(0.5, 1.0)
 
     async def step(self) -> None:
         """Read, renew, check out or return: whatever is due."""
         now = self.clock.now()
-        if now - self.read_at >= constants.SEAT_READ_S:
+        if now - self.read_at >= constants.SEAT_LIST_INTERVAL_S:
             await self._read()
         for name in [name for name, until in self.sure.items() if until <= now]:
             del self.sure[name]
@@ -133,14 +139,14 @@
             await self._renew(due)
         lacking = min(want - len(self.sure), max(1, self.seats - self.foreign - len(self.sure)))
         if want > len(self.sure) and lacking > 0:
-            await self._check_out(min(lacking, constants.SEAT_BATCH))
+            await self._check_out(min(lacking, constants.MAX_SEATS_PER_REQUEST))
 
     def _renew_s(self) -> float:
-        return self.pool.timeout_s * (1 - constants.SEAT_RENEW_PART)
+        return self.pool.timeout_s * (1 - constants.SEAT_RENEWAL_RATIO)
 
     async def _read(self) -> None:
         """What the server says: names of ours that an earlier leader held are taken over."""
-        status = decode(await self._call("", None), Status)
+        status = decode_response(await self._call("", None), Status)
         self.read_at = self.told_at = self.clock.now()
         self.seats = status.seats
         ours = {held.name for held in status.held if held.holder == self.pool.holder}
@@ -152,10 +158,12 @@
 
     async def _granted(self, what: str, names: list[str]) -> set[str]:
         sent = self.clock.now()
-        answer = decode(await self._call(what, names), Granted)
+        answer = decode_response(await self._call(what, names), Granted)
         self.told_at = self.clock.now()
         found = set(answer.names) & set(names)
-        until = sent + answer.ttlS * (1 - constants.CLOCK_DRIFT) - constants.SEAT_MARGIN_S
+        until = (
+            sent + answer.ttlS * (1 - constants.CLOCK_DRIFT_RATIO) - constants.SEAT_LEASE_MARGIN_S
+        )
         for name in found:
             self.sure[name] = until
             self.asked.pop(name, None)
@@ -163,7 +171,7 @@
 
     async def _renew(self, names: list[str]) -> None:
         """What is not renewed is lost: the server restarted, or freed it after its timeout."""
-        names = names[: constants.SEAT_BATCH]
+        names = names[: constants.MAX_SEATS_PER_REQUEST]
         found = await self._granted("renew", names)
         for name in set(names) - found:
             self.sure.pop(name, None)
@@ -182,9 +190,9 @@
     async def _spare(self, now: float, spare: int) -> None:
         """Return what nothing asks for, after a moment: work may follow work."""
         self.surplus_since = now if self.surplus_since is None else self.surplus_since
-        if now - self.surplus_since < constants.SEAT_KEEP_S:
+        if now - self.surplus_since < constants.SPARE_SEAT_RETENTION_S:
             return
-        names = list(self.sure)[-spare:][: constants.SEAT_BATCH]
+        names = list(self.sure)[-spare:][: constants.MAX_SEATS_PER_REQUEST]
         for name in names:
             del self.sure[name]  # not ours from before the request on, whatever comes of it
             self.asked[name] = None
--- a/src/chalkgrade/logs.py
+++ b/src/chalkgrade/logs.py
@@ -8,22 +8,22 @@
 import sys
 from typing import Any
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-PLAIN = "%(asctime)s %(levelname)s %(name)s %(message)s"
-FORMATS = ("plain", "json")
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+PLAIN_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
+LOG_FORMATS = ("plain", "json")
 
 
-def about(
+def decision_fields(
     term: int, job: str | None = None, machine: str | None = None, attempt: str | None = None
 ) -> dict[str, Any]:
     """The fields of a decision, for `extra`. An attempt is named TASK#TRY."""
     return {"term": term, "job": job, "machine": machine, "attempt": attempt}
 
 
-def formatter(kind: str) -> logging.Formatter:
+def make_formatter(kind: str) -> logging.Formatter:
     """The formatter of that name, one of `FORMATS`."""
     if kind == "plain":
-        return logging.Formatter(PLAIN)
+        return logging.Formatter(PLAIN_FORMAT)
     # Imported here: controllers that log plainly need not load it.
     from pythonjsonlogger.json import JsonFormatter
 
@@ -35,8 +35,8 @@
     )
 
 
-def set_up(level: str, kind: str) -> None:
+def configure_logging(level: str, kind: str) -> None:
     """Log to standard error from now on."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(formatter(kind))
-    logging.basicConfig(level=LEVELS[level], handlers=[handler])
+    handler.setFormatter(make_formatter(kind))
+    logging.basicConfig(level=LOG_LEVELS[level], handlers=[handler])
--- a/src/chalkgrade/machines/fleet.py
+++ b/src/chalkgrade/machines/fleet.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.latest import Latest
+from chalkgrade.bounded_dict import BoundedDict
 from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.outside import Clock, Signal
 from chalkgrade.record.jobs import Attempt, Job
@@ -125,7 +125,7 @@
             count
             if job.has_succeeded
             else 0
-            if len(job.failures_by_machine) >= constants.FAULTY_MACHINES
+            if len(job.failures_by_machine) >= constants.MAX_FAILED_MACHINES_PER_JOB
             else 1
             for job, count in self.failures_by_job.items()
         )
@@ -149,10 +149,12 @@
         self.token = token
         self.lease_s = lease_s
         self.report_s = report_s
-        self.silent_s = constants.SILENT_REPORTS * report_s + constants.SILENT_SLACK_S
+        self.silent_s = (
+            constants.SILENCE_REPORT_INTERVALS_RATIO * report_s + constants.SILENCE_SLACK_S
+        )
         self.machines: dict[str, Machine] = {}
         # Machines proven gone, which old reports and lists must not bring back.
-        self.gone = Latest[str, None](constants.GONE_KEPT)
+        self.gone = BoundedDict[str, None](constants.MAX_GONE_MACHINES)
 
     def get_or_add(self, name: str, hosttype: str, site: str, standby: bool) -> Machine:
         """Returns the machine of that name; adds it if it is unknown."""
@@ -244,7 +246,7 @@
         """
         if machine.answered_at is None:
             return False
-        lease = self.lease_s * (1 + constants.CLOCK_DRIFT) + constants.WORKER_MARGIN_S
+        lease = self.lease_s * (1 + constants.CLOCK_DRIFT_RATIO) + constants.WORKER_LEASE_MARGIN_S
         return self._clock.now() > machine.answered_at + lease
 
     def usable(self, machine: Machine) -> bool:
@@ -276,7 +278,7 @@
         return (
             not machine.releasing
             and not machine.has_termination_notice
-            and machine.failures < constants.SUSPECT_FAILURES
+            and machine.failures < constants.MAX_MACHINE_FAILURES
             and not machine.response_tracker.responses_lost
             and (
                 machine.reported_at is None
--- a/src/chalkgrade/machines/placement.py
+++ b/src/chalkgrade/machines/placement.py
@@ -109,7 +109,7 @@
     """
     if not spec.pullGb or not slot.fetching or slot.has_or_fetches(spec.bundle):
         return False
-    return image_fetch_s(spec, slot) > constants.FETCH_PATIENCE_S
+    return image_fetch_s(spec, slot) > constants.MAX_PARALLEL_FETCH_S
 
 
 def choose_slot(
@@ -207,7 +207,7 @@
     wins, so that other machines become empty for tasks that need a whole one.
     """
     left = (slot.free[0] - spec.vcpus) / max(slot.total[0], 1e-9)
-    step = constants.SOON_STEP_S
+    step = constants.REPORT_TIME_STEP_S
     return (
         slot.recent_failures,
         image_fetch_s(spec, slot) + slot.launch_delay_s // step * step,
--- a/src/chalkgrade/machines/response_tracking.py
+++ b/src/chalkgrade/machines/response_tracking.py
@@ -54,9 +54,9 @@
         tenure, begun = self._session
         if key[0] != tenure:
             # All responses of a session were lost, unless it ended while the machine was cut off.
-            lost = last is not None and self._session_responses >= constants.UNHEARD
-            if tenure and lost and now - begun > constants.UNHEARD_PART * lease_s:
-                self._lost_responses = constants.UNHEARD - 1
+            lost = last is not None and self._session_responses >= constants.MIN_LOST_RESPONSES
+            if tenure and lost and now - begun > constants.LOST_RESPONSES_LEASE_RATIO * lease_s:
+                self._lost_responses = constants.MIN_LOST_RESPONSES - 1
                 self._count_lost(now)
             self._session, self._session_responses = (key[0], now), 0
         elif self.responses_lost_since is not None and has_token and now - begun > 2 * lease_s:
@@ -75,7 +75,10 @@
 
     def _count_lost(self, now: float) -> None:
         self._lost_responses += 1
-        if self._lost_responses >= constants.UNHEARD and self.responses_lost_since is None:
+        if (
+            self._lost_responses >= constants.MIN_LOST_RESPONSES
+            and self.responses_lost_since is None
+        ):
             self.responses_lost_since = now
 
     def _mark_received(self) -> None:
--- a/src/chalkgrade/membership/leader_health.py
+++ b/src/chalkgrade/membership/leader_health.py
@@ -16,9 +16,12 @@
     def __init__(self, clock: Clock, report_s: float) -> None:
         self.clock = clock
         # A machine does not miss two and a half reports in a row by chance.
-        self.max_report_silence_s = max(constants.UNFIT_S, constants.SILENT_REPORTS * report_s)
+        self.max_report_silence_s = max(
+            constants.UNHEALTHY_LEADER_TIMEOUT_S,
+            constants.SILENCE_REPORT_INTERVALS_RATIO * report_s,
+        )
         self.leading_since = -1e9
-        self.handover_pause_s = constants.HANDOVER_REST_S
+        self.handover_pause_s = constants.MIN_HANDOVER_PAUSE_S
         self.handover_paused_until = -1e9
 
     def start_leading(self) -> None:
@@ -39,11 +42,15 @@
         report last came directly; `machines_up`: number of machines known to be up.
         """
         now = self.clock.now()
-        if now < self.handover_paused_until or now - self.leading_since < constants.UNFIT_S:
+        if (
+            now < self.handover_paused_until
+            or now - self.leading_since < constants.UNHEALTHY_LEADER_TIMEOUT_S
+        ):
             return ""
         if (
             cloud_reached is False
-            and now - max(cloud_answered_at, self.leading_since) > constants.UNFIT_S
+            and now - max(cloud_answered_at, self.leading_since)
+            > constants.UNHEALTHY_LEADER_TIMEOUT_S
         ):
             return CLOUD
         if (
@@ -55,7 +62,7 @@
 
     def record_handover(self, moved: bool) -> None:
         """Record an attempted handover; the pause before the next one doubles if it `moved`."""
-        pause = self.handover_pause_s if moved else constants.UNFIT_S
+        pause = self.handover_pause_s if moved else constants.UNHEALTHY_LEADER_TIMEOUT_S
         self.handover_paused_until = self.clock.now() + pause
         if moved:
-            self.handover_pause_s = min(constants.HANDOVER_REST_MAX_S, 2 * self.handover_pause_s)
+            self.handover_pause_s = min(constants.MAX_HANDOVER_PAUSE_S, 2 * self.handover_pause_s)
--- a/src/chalkgrade/membership/prober.py
+++ b/src/chalkgrade/membership/prober.py
@@ -55,12 +55,12 @@
                 if member not in self.indirect_probes:
                     self._spawn(self.indirect_probes, member, self._probe_indirectly(member))
             self.views.update_states()
-            due = now + constants.TICK_S
+            due = now + constants.PROBE_ROUND_INTERVAL_S
             await asyncio.sleep(max(0.0, due - self.clock.now()))
 
     def ping_all(self) -> None:
         """Send the status to the others at once, so that an old leader steps down soon."""
-        for member in self.probe_order[: constants.ANNOUNCE_MAX]:
+        for member in self.probe_order[: constants.MAX_ANNOUNCED_PEERS]:
             if member not in self.pings:
                 self._spawn(self.pings, member, self._ping(member))
 
@@ -74,7 +74,7 @@
         current_leader = self.current_leader()
         if current_leader in self.views.by_member:
             out.append(current_leader)
-        for _ in range(min(len(self.probe_order), constants.PING_OTHERS)):
+        for _ in range(min(len(self.probe_order), constants.PINGED_FOLLOWERS_PER_ROUND)):
             self.probe_order.append(self.probe_order.pop(0))
             if self.probe_order[-1] not in out:
                 out.append(self.probe_order[-1])
@@ -86,7 +86,9 @@
 
     async def _ping(self, member: str) -> None:
         try:
-            found = await self._ask(member, "ping", self.own_status(), constants.PING_TIMEOUT_S)
+            found = await self._ask(
+                member, "ping", self.own_status(), constants.PING_RESPONSE_TIMEOUT_S
+            )
             status = msgspec.convert(found, MemberStatus)
         except NoAnswer as error:
             log.debug("ping failed: peer %s: %s", member, error)
@@ -109,9 +111,12 @@
     async def _probe_indirectly(self, member: str) -> None:
         """Ask some other controllers whether they reach a member that does not answer here."""
         helpers = [m for m, v in self.views.by_member.items() if m != member and v.state != SUSPECT]
-        chosen = self.rng.sample(helpers, min(len(helpers), constants.PROBE_HELPERS))
+        chosen = self.rng.sample(helpers, min(len(helpers), constants.INDIRECT_PROBE_HELPER_COUNT))
         answers = await asyncio.gather(
-            *(self._ask(helper, "reach", member, constants.PEER_TIMEOUT_S) for helper in chosen),
+            *(
+                self._ask(helper, "reach", member, constants.PEER_REQUEST_TIMEOUT_S)
+                for helper in chosen
+            ),
             return_exceptions=True,
         )
         reached, status = False, None
@@ -149,5 +154,5 @@
         view, began = self.views.by_member[member], self.clock.now()
         if member not in self.pings:
             self._spawn(self.pings, member, self._ping(member))
-        await asyncio.wait({self.pings[member]}, timeout=constants.REACH_S)
+        await asyncio.wait({self.pings[member]}, timeout=constants.INDIRECT_PROBE_TIMEOUT_S)
         return ReachReply(view.answered_at >= began, view.word)
--- a/src/chalkgrade/membership/registration.py
+++ b/src/chalkgrade/membership/registration.py
@@ -55,14 +55,16 @@
             try:
                 if not self.is_registered:
                     await self._register()
-                elif not await self.ledger.renew_lease(self.permit, constants.STATE_TIMEOUT_S):
+                elif not await self.ledger.renew_lease(
+                    self.permit, constants.STATE_REQUEST_TIMEOUT_S
+                ):
                     self.is_registered = False  # the lease has ended, and the key with it
                     continue
             except REQUEST_ERRORS as error:
                 log.debug("registration failed: %s", error)
                 await asyncio.sleep(self.retry_delay_s())
                 continue
-            await asyncio.sleep(constants.MEMBER_TOUCH_S)
+            await asyncio.sleep(constants.MEMBER_LEASE_RENEWAL_INTERVAL_S)
 
     async def _register(self) -> None:
         row = await self.ledger.get(self.key)
@@ -78,7 +80,7 @@
             # answer again.
             permit, stamp = row.permit, row.stamp
         else:
-            permit = await self.ledger.grant_lease(constants.MEMBER_TTL_S)
+            permit = await self.ledger.grant_lease(constants.MEMBER_LEASE_S)
             write = {"write": self.key, "v": value, "permit": permit}
             stamp = await self.ledger.commit({self.key: row.stamp if row else 0}, [write])
         self.permit, self.is_registered = permit, True
@@ -101,7 +103,7 @@
                         if view.lease == "held" and member not in present_members:
                             self.views.record_lease(member, "ended")  # missed while not watching
                 found = await self.ledger.watch_changes(
-                    MEMBERS_PREFIX, revision, constants.WATCH_BLOCK_S
+                    MEMBERS_PREFIX, revision, constants.LONG_WATCH_BLOCK_S
                 )
                 for change in found.log:
                     if change.write is not None:
--- a/src/chalkgrade/membership/views.py
+++ b/src/chalkgrade/membership/views.py
@@ -86,9 +86,11 @@
     def record_loop_delay(self, late_s: float) -> None:
         """Record a delay of the own loop; after a long one earlier silence is no evidence."""
         now = self.clock.now()
-        if late_s > constants.LATE_S:
+        if late_s > constants.LOOP_DELAY_THRESHOLD_S:
             self.evidence_valid_from = now
-        self.loop_delays = [row for row in self.loop_delays if now - row[0] < constants.LATE_KEPT_S]
+        self.loop_delays = [
+            row for row in self.loop_delays if now - row[0] < constants.LOOP_DELAY_RETENTION_S
+        ]
         if late_s > 0.01:
             self.loop_delays.append((now, late_s))
 
@@ -98,7 +100,7 @@
         A full stop of the process does not count: it outlasts any lease, and does not predict
         delays in the next seconds.
         """
-        short = (late for _, late in self.loop_delays if late < constants.LEASE_TTL_S)
+        short = (late for _, late in self.loop_delays if late < constants.MAX_LEADER_LEASE_S)
         return max(short, default=0.0)
 
     # -- evidence ---------------------------------------------------------------------
@@ -115,7 +117,7 @@
         now = self.clock.now()
         is_outdated = (
             not answer
-            and self.clock.wall() - status.at > constants.WORD_OLD_S + self.max_clock_skew_s
+            and self.clock.wall() - status.at > constants.MAX_STATUS_AGE_S + self.max_clock_skew_s
         )
         if status.process != view.process:
             if view.process and not self._is_newer_process(view, status, answer):
@@ -123,7 +125,7 @@
             if is_outdated:  # checked first: a delayed status must not revive an ended process
                 return self.drop_message("old")
             if view.process:
-                view.past = [*view.past[-constants.PAST_KEPT :], view.process]
+                view.past = [*view.past[-constants.MAX_PREVIOUS_PROCESSES :], view.process]
             view.process, view.seq = status.process, 0
             view.incarnation = status.incarnation
             view.doubted_by.clear()
@@ -133,7 +135,10 @@
             self._update_state(status.member, now)
             return False
         elif status.incarnation < view.incarnation or status.seq <= view.seq:
-            if abs(self.clock.wall() - status.at) > constants.WORD_OLD_S + self.max_clock_skew_s:
+            if (
+                abs(self.clock.wall() - status.at)
+                > constants.MAX_STATUS_AGE_S + self.max_clock_skew_s
+            ):
                 return self.drop_message("stale")
             self._count("overtaken")
             return False
@@ -167,7 +172,7 @@
         replaced is accepted only then, since its last messages may arrive after the first ones
         of its successor.
         """
-        silent = self.clock.now() - view.last_contact_at > constants.SUSPECT_S
+        silent = self.clock.now() - view.last_contact_at > constants.SUSPICION_TIMEOUT_S
         if status.process in view.past:
             return silent
         unregistered = status.incarnation[0] == 0 and (answer or silent)
@@ -233,7 +238,7 @@
         self.changed(member, old, state)
 
     def _evaluate_state(self, view: MemberView, now: float) -> str:
-        if now - view.last_contact_at <= constants.SUSPECT_S:
+        if now - view.last_contact_at <= constants.SUSPICION_TIMEOUT_S:
             return ALIVE  # even if its lease has ended
         if view.lease in ("ended", "left") and view.lease_at > view.last_contact_at:
             return LEFT if view.lease == "left" else FAILED
@@ -250,7 +255,8 @@
         asked = view.unanswered_at > max(view.last_contact_at, self.evidence_valid_from)
         if (
             not asked
-            or now - max(view.last_contact_at, self.evidence_valid_from) <= constants.SUSPECT_S
+            or now - max(view.last_contact_at, self.evidence_valid_from)
+            <= constants.SUSPICION_TIMEOUT_S
         ):
             return False
         helpers = any(
@@ -266,7 +272,7 @@
             for member, view in self.by_member.items()
             if view.state == ALIVE
             and view.unanswered_at > max(view.last_contact_at, self.evidence_valid_from)
-            and now - view.unanswered_at >= constants.PROBE_S
+            and now - view.unanswered_at >= constants.INDIRECT_PROBE_DELAY_S
             and view.unreached_at < view.unanswered_at
         ]
 
@@ -284,7 +290,8 @@
         """Whether requests can be sent there with good prospect: alive on recent evidence."""
         view = self.by_member.get(member)
         fresh = (
-            view is not None and self.clock.now() - view.last_contact_at < constants.PEER_FRESH_S
+            view is not None
+            and self.clock.now() - view.last_contact_at < constants.MAX_PEER_STATUS_AGE_S
         )
         return view is not None and fresh and view.state == ALIVE
 
@@ -294,7 +301,8 @@
         return [
             view.word
             for view in self.by_member.values()
-            if view.word is not None and now - view.last_contact_at < constants.PEER_FRESH_S
+            if view.word is not None
+            and now - view.last_contact_at < constants.MAX_PEER_STATUS_AGE_S
         ]
 
     def suspected_members(self) -> dict[str, Incarnation]:
@@ -314,7 +322,7 @@
         self._count(f"dropped {reason}")
         self.unlogged_drops[reason] = self.unlogged_drops.get(reason, 0) + 1
         now = self.clock.now()
-        if now - self.drops_logged_at >= constants.DROPPED_TELL_S:
+        if now - self.drops_logged_at >= constants.DROPPED_MESSAGES_LOG_INTERVAL_S:
             self.drops_logged_at = now
             log.warning("dropped messages of controllers: %s", self.unlogged_drops)
             self.unlogged_drops = {}
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -16,13 +16,13 @@
 from chalkgrade import constants
 from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
 from chalkgrade.extensions.constraints import StartConstraint
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.placement import Slot, may_use_machine, room_wait_s
 from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
 from chalkgrade.moves.settings import MoveSettings
-from chalkgrade.outside import Bucket
+from chalkgrade.outside import TokenBucket
 from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.renting.joint import Joint
@@ -133,7 +133,7 @@
         self.decision_loops = [self.run]
         self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
         rate = settings.per_minute / 60
-        self.budget = Bucket(self.clock, rate, settings.per_minute)
+        self.budget = TokenBucket(self.clock, rate, settings.per_minute)
         self.tried: dict[object, float] = {}  # shape of work -> when a plan was looked for
         self.plans: dict[str, int] = {}  # by what came of them
         self.moves: dict[str, int] = {}
@@ -166,15 +166,15 @@
                 attempt.number,
             ):
                 self.moves[cause or "lost"] = self.moves.get(cause or "lost", 0) + 1
-                move.home_until = self.clock.wall() + constants.MOVE_HOME_S
+                move.home_until = self.clock.wall() + constants.MOVE_TARGET_RESERVATION_S
                 self.record.mark_changed()
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(constants.MOVE_EVERY_S)
+            await asyncio.sleep(constants.MOVE_SEARCH_INTERVAL_S)
             if self.domain.is_serving():
                 self._advance()
-                if len(self.value.plans) < constants.MOVE_PLANS:
+                if len(self.value.plans) < constants.MAX_CONCURRENT_MOVE_PLANS:
                     self._look()
                 if self.record.is_dirty:
                     self.book.flush_wanted.set()
@@ -191,7 +191,9 @@
                     attempt = self._at_source(move)
                     if attempt is not None and attempt.kill_requested_at is None:
                         attempt.kill_requested_at = self.clock.now()
-                        what = about(self.fleet.token, move.job, move.source, attempt.label)
+                        what = decision_fields(
+                            self.fleet.token, move.job, move.source, attempt.label
+                        )
                         log.info("moving %s to %s", attempt.label, move.target, extra=what)
         homes = [m for m in self.unsettled() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
@@ -229,10 +231,10 @@
             plan.job,
             plan.host,
             outcome,
-            extra=about(self.fleet.token, plan.job, plan.host),
+            extra=decision_fields(self.fleet.token, plan.job, plan.host),
         )
         self.value.plans.remove(plan)
-        until = self.clock.wall() + constants.MOVE_HOME_S
+        until = self.clock.wall() + constants.MOVE_TARGET_RESERVATION_S
         for move in plan.moves:
             attempt = self._at_source(move)
             if attempt is not None and not attempt.kill_sent:
@@ -263,7 +265,7 @@
             # One search a look, and each shape of work now and then: a search costs more
             # than a round, and what found no plan finds none a moment later.
             key = (job.spec.machine_constraints, job.spec.urgency_rank)
-            if now - self.tried.get(key, -1e9) >= constants.MOVE_RETRY_S:
+            if now - self.tried.get(key, -1e9) >= constants.MOVE_SEARCH_RETRY_INTERVAL_S:
                 self.tried[key] = now
                 self._try(job, slots, jobs)
                 return
@@ -273,7 +275,7 @@
         if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
         if (
-            self.clock.wall() - job.eligible_at < constants.MOVE_WAITED_S
+            self.clock.wall() - job.eligible_at < constants.MIN_MOVE_WAIT_S
             or spec.owner in self.settings.optout
         ):
             return False
@@ -298,7 +300,9 @@
         others = {mate.resources for mate in mates if mate.resources != spec.resources}
         pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
         # Only for a few hosts need be known who could leave them: those that lack least.
-        hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
+        hosts = heapq.nlargest(
+            constants.MAX_MOVE_CANDIDATE_HOSTS, fitting, key=lambda s: (s.free[0], s.name)
+        )
         names = {slot.name for slot in hosts}
         places = tuple(self._place(job, slot, slot.name in names) for slot in slots)
         found = self.find(Problem(spec.resources, pools, places, tuple(sorted(others))), count)
@@ -307,8 +311,12 @@
         took = max(self._takes_s(plan) for plan in found)
         instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rent_s(job))
         cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
-        gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
-        if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
+        gain = (min(instead, constants.MAX_MOVE_GAIN_S) - took) * spec.vcpus * count
+        if (
+            took * self.settings.margin < instead
+            and cost <= gain
+            and self.budget.try_acquire(tasks)
+        ):
             for plan in found:
                 self._adopt(job, plan, took, instead)
 
@@ -338,7 +346,7 @@
         """From now until the large task can be launched: stops, saves, reports."""
         jobs = [self.book.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
         saves = max(job.spec.flushS for job in jobs)
-        return saves + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
+        return saves + 1.5 * self.fleet.report_s + constants.MOVE_DURATION_SLACK_S
 
     def _place(self, job: Job, slot: Slot, host: bool) -> Place:
         """A machine as the planner sees it; room that is kept on it is not free."""
@@ -404,7 +412,7 @@
             number = move.resident.number
             moves.append(MoveRecord(name, int(index), number, move.source, move.target))
             self.moved_at[name, int(index)] = wall
-        until = wall + constants.MOVE_PLAN_S
+        until = wall + constants.MOVE_PLAN_TIMEOUT_S
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
         self.record.mark_changed()
         log.info(
@@ -415,7 +423,7 @@
             plan.cost,
             took,
             instead,
-            extra=about(self.fleet.token, job.name, plan.host),
+            extra=decision_fields(self.fleet.token, job.name, plan.host),
         )
 
     def samples(self) -> Iterable[Sample]:
--- a/src/chalkgrade/moves/plan.py
+++ b/src/chalkgrade/moves/plan.py
@@ -113,7 +113,7 @@
                     and may_go(resident, place, place.free, self.problem.others)
                 ),
                 key=lambda row: row[:3],
-            )[: constants.MOVE_TARGETS]
+            )[: constants.MAX_MOVE_TARGETS_PER_TASK]
             if found:
                 self.targets[resident.task] = [(row[0], row[3]) for row in found]
                 self.leave.append((resident.loss + found[0][0], resident))
@@ -187,7 +187,7 @@
     return worst
 
 
-def plan(problem: Problem, steps: int = constants.MOVE_STEPS) -> Plan | None:
+def plan(problem: Problem, steps: int = constants.MAX_MOVE_SEARCH_STEPS) -> Plan | None:
     """The least costly plan found within so many steps of search; None: no plan.
 
     Hosts are searched in the order of their lower bounds, so that most need no search.
@@ -212,10 +212,12 @@
     # Of many targets the tightest are enough: gaps are filled, whole machines stay whole.
     gaps = (place for place in problem.places if place.free[0] > EPS)
     tightest = heapq.nsmallest(
-        constants.MOVE_OPEN, gaps, key=lambda place: (place.free[0], place.name)
+        constants.MAX_MOVE_TARGETS, gaps, key=lambda place: (place.free[0], place.name)
     )
     best: Plan | None = None
-    for bound, _, host in sorted(hosts, key=lambda row: row[:2])[: constants.MOVE_HOSTS]:
+    for bound, _, host in sorted(hosts, key=lambda row: row[:2])[
+        : constants.MAX_MOVE_SEARCHED_HOSTS
+    ]:
         if best is not None and bound >= best.cost:
             break
         search = _Search(problem, host, best, steps, tightest)
--- a/src/chalkgrade/moves/settings.py
+++ b/src/chalkgrade/moves/settings.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from chalkgrade.settings import Settings, SettingsError, number, read_xml
+from chalkgrade.settings import Settings, SettingsError, parse_number, read_xml
 
 
 class MoveSettings(msgspec.Struct):
@@ -43,7 +43,7 @@
             elif node.tag in values:
                 raise SettingsError(f"{node.tag}: appears twice")
             else:
-                values[node.tag] = number(node.tag, node.text, *MOVE_LIMITS[node.tag])
+                values[node.tag] = parse_number(node.tag, node.text, *MOVE_LIMITS[node.tag])
         except SettingsError as error:
             raise SettingsError(str(error), lines[node]) from None
     return MoveSettings(**values, optout=optout)
--- a/src/chalkgrade/outside.py
+++ b/src/chalkgrade/outside.py
@@ -48,7 +48,7 @@
 encode = msgspec.json.encode
 
 
-def decode(body: bytes, kind: type[T]) -> T:
+def decode_response(body: bytes, kind: type[T]) -> T:
     """Decode an answer of another system; nonsense counts as no answer."""
     try:
         return msgspec.json.decode(body, type=kind)
@@ -76,42 +76,44 @@
         return bool(done)
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket: `rate` a second, with bursts of `burst`."""
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
         self._clock = clock
-        self.rate = rate
-        self.burst = max(1.0, burst)
-        self._level = self.burst
-        self._at = clock.now()
+        self.rate_per_s = rate
+        self.max_tokens = max(1.0, burst)
+        self._tokens = self.max_tokens
+        self._updated_at = clock.now()
 
-    def resize(self, rate: float) -> None:
+    def set_rate(self, rate: float) -> None:
         """Change the rate, with bursts of a second's worth; the tokens at hand stay."""
-        self.level()
-        self.rate, self.burst = rate, max(1.0, rate)
-        self._level = min(self._level, self.burst)
+        self.available_tokens()
+        self.rate_per_s, self.max_tokens = rate, max(1.0, rate)
+        self._tokens = min(self._tokens, self.max_tokens)
 
-    def fill(self) -> None:
+    def refill(self) -> None:
         """As after a long pause."""
-        self._level = self.burst
+        self._tokens = self.max_tokens
 
-    def level(self) -> float:
+    def available_tokens(self) -> float:
         """Tokens at hand."""
         now = self._clock.now()
-        self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
-        return self._level
+        self._tokens = min(
+            self.max_tokens, self._tokens + (now - self._updated_at) * self.rate_per_s
+        )
+        self._updated_at = now
+        return self._tokens
 
-    def take(self, amount: float = 1.0) -> bool:
+    def try_acquire(self, amount: float = 1.0) -> bool:
         """Take tokens if they are at hand."""
-        if self.level() < amount:
+        if self.available_tokens() < amount:
             return False
-        self._level -= amount
+        self._tokens -= amount
         return True
 
-    async def wait(self, amount: float = 1.0) -> None:
+    async def acquire(self, amount: float = 1.0) -> None:
         """Wait until the tokens are at hand and take them."""
-        amount = min(amount, self.burst)
-        while not self.take(amount):
-            await asyncio.sleep(max(0.005, (amount - self._level) / self.rate))
+        amount = min(amount, self.max_tokens)
+        while not self.try_acquire(amount):
+            await asyncio.sleep(max(0.005, (amount - self._tokens) / self.rate_per_s))
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -11,7 +11,7 @@
 from chalkgrade import constants
 from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
 from chalkgrade.extensions.constraints import StartConstraint
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.outside import NoAnswer
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.pipelines.slack import inherit
@@ -81,10 +81,10 @@
         if fresh and job.is_blocked:
             self.fresh.add(job.name)
             names = job.submitted_spec.waitsOn or []
-            shown = ", ".join(names[: constants.NAMES_SHOWN])
-            more = f" and {len(names) - constants.NAMES_SHOWN} more"
-            what = about(self.book.office.token, job.name)
-            more = more if len(names) > constants.NAMES_SHOWN else ""
+            shown = ", ".join(names[: constants.MAX_LOGGED_JOBS])
+            more = f" and {len(names) - constants.MAX_LOGGED_JOBS} more"
+            what = decision_fields(self.book.office.token, job.name)
+            more = more if len(names) > constants.MAX_LOGGED_JOBS else ""
             log.info("job %s: waits for %s%s", job.name, shown, more, extra=what)
         if self.started:
             self._enter(job)
@@ -97,7 +97,7 @@
 
     def _released(self, job: Job) -> None:
         self.counts["released"] += 1
-        what = about(self.book.office.token, job.name)
+        what = decision_fields(self.book.office.token, job.name)
         self.changed = True
         self.rank()
         text = "nobody with a deadline needs it"
@@ -110,7 +110,7 @@
 
     def _cancelled(self, job: Job) -> None:
         self.counts["cancelled"] += 1
-        what = about(self.book.office.token, job.name)
+        what = decision_fields(self.book.office.token, job.name)
         log.info("job %s: cancelled with a job before it", job.name, extra=what)
         self.changed = True
         self.fresh.discard(job.name)
@@ -144,7 +144,7 @@
 
     async def _look_up(self) -> None:
         """Read how jobs ended that are named and on no record here. Until then who names waits."""
-        pause = constants.STATE_PAUSE_S
+        pause = constants.STATE_RETRY_INTERVAL_S
         while True:
             # What is met again waits between two looks; what is named just now does not.
             with contextlib.suppress(TimeoutError):
@@ -152,12 +152,16 @@
                     await self.wanted.wait()
             self.wanted.clear()
             names = list(self.graph.unknown)
-            for begin in range(0, len(names), constants.LOOK_UPS):
-                part = names[begin : begin + constants.LOOK_UPS]
+            for begin in range(0, len(names), constants.MAX_JOB_END_READS):
+                part = names[begin : begin + constants.MAX_JOB_END_READS]
                 await asyncio.gather(*(self._read(name) for name in part))
             # Left: accepted by a node that the leader's watch has yet to tell of, or unreadable.
             unread = bool(self.graph.unknown)
-            pause = min(2 * pause, constants.LOOK_UP_PAUSE_S) if unread else constants.STATE_PAUSE_S
+            pause = (
+                min(2 * pause, constants.MAX_DEPENDENCY_LOOKUP_PAUSE_S)
+                if unread
+                else constants.STATE_RETRY_INTERVAL_S
+            )
 
     async def _read(self, name: str) -> None:
         try:
--- a/src/chalkgrade/record/changes.py
+++ b/src/chalkgrade/record/changes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.latest import Latest
+from chalkgrade.bounded_dict import BoundedDict
 from chalkgrade.outside import encode
 from chalkgrade.record.jobs import Job, JobValue
 
@@ -18,15 +18,15 @@
     return msgspec.Raw(encode(value))
 
 
-class RecentEnds(Latest[str, str]):
+class RecentEnds(BoundedDict[str, str]):
     """The jobs that ended most recently under this token, with their final status.
 
-    At most OVER_KEPT are held. Older ends are known from the record only: a commit that would
+    At most MAX_ENDED_JOBS are held. Older ends are known from the record only: a commit that would
     create such a job again fails on the condition that its end is absent.
     """
 
     def __init__(self) -> None:
-        super().__init__(constants.OVER_KEPT)
+        super().__init__(constants.MAX_ENDED_JOBS)
 
 
 def group_by_batch(jobs: Iterable[Job]) -> list[Job]:
--- a/src/chalkgrade/record/dependency_lists.py
+++ b/src/chalkgrade/record/dependency_lists.py
@@ -48,7 +48,7 @@
     parts behind that nobody removes (see `commit_conditions`).
     """
     max_value_b = ledger.limits.max_value_bytes
-    if len(encode(value)) <= max_value_b - constants.RECORD_SPARE_B // 2:
+    if len(encode(value)) <= max_value_b - constants.JOB_RECORD_OVERHEAD_BYTES // 2:
         return value
     names = value.spec.waitsOn or []
     parts: list[list[str]] = [[]]
@@ -65,7 +65,7 @@
     writes = [{"write": key, "v": part} for key, part in zip(keys, parts, strict=True)]
     # The total size of a commit is limited too, so only some values of maximum size fit in one.
     parts_per_commit = max(
-        1, min(ledger.limits.txn_ops, constants.COMMIT_MAX_B // (2 * max_value_b))
+        1, min(ledger.limits.txn_ops, constants.MAX_COMMIT_BYTES // (2 * max_value_b))
     )
     for begin in range(0, len(writes), parts_per_commit):
         await ledger.commit(
--- a/src/chalkgrade/record/jobs.py
+++ b/src/chalkgrade/record/jobs.py
@@ -110,14 +110,14 @@
                 raise SubmissionError(f"waitsOn: {name[:100]!r} is no other job's id")
         # Repeated names count once, and an empty list is treated like a missing field.
         spec = msgspec.structs.replace(spec, waitsOn=list(dict.fromkeys(spec.waitsOn)) or None)
-    if len(encode(without_dependencies(spec))) > value_b - constants.RECORD_SPARE_B:
+    if len(encode(without_dependencies(spec))) > value_b - constants.JOB_RECORD_OVERHEAD_BYTES:
         raise SubmissionTooLongError("the description is too long to be kept")
     return spec
 
 
 def is_job_id(name: str) -> bool:
     """Whether a text is a valid job id."""
-    return len(name) <= constants.ID_MAX and JOB_ID_PATTERN.match(name) is not None
+    return len(name) <= constants.MAX_JOB_ID_CHARS and JOB_ID_PATTERN.match(name) is not None
 
 
 def without_dependencies(spec: JobSpec) -> JobSpec:
@@ -215,7 +215,7 @@
 
 
 class Page:
-    """A range of PAGE_TASKS tasks of a job: the unit of checkpoints."""
+    """A range of TASKS_PER_PAGE tasks of a job: the unit of checkpoints."""
 
     __slots__ = ("key", "next_try", "done", "live", "stamp", "durable_lsn")
 
@@ -374,7 +374,7 @@
 
     def page_of(self, index: int) -> Page:
         """Return the page of a task, creating it if needed."""
-        number = index // constants.PAGE_TASKS
+        number = index // constants.TASKS_PER_PAGE
         page = self.pages.get(number)
         if page is None:
             page = self.pages[number] = Page(f"{TASK_PREFIX}{self.name}/{number}")
@@ -382,7 +382,7 @@
 
     def load_page(self, number: int, value: PageValue, stamp: int) -> None:
         """Restore a page from its checkpoint."""
-        page = self.page_of(number * constants.PAGE_TASKS)
+        page = self.page_of(number * constants.TASKS_PER_PAGE)
         page.next_try, page.stamp, page.durable_lsn = value.n, stamp, value.u
         for name in value.f:
             self.failures_by_machine.setdefault(name, 1)
@@ -399,7 +399,7 @@
             page = self.page_of(index)
             if lsn <= page.durable_lsn:
                 continue
-            changed_pages.add(index // constants.PAGE_TASKS)
+            changed_pages.add(index // constants.TASKS_PER_PAGE)
             if isinstance(event, str):
                 page.next_try = max(page.next_try, number + 1)
                 self._add_live(page, Attempt(self, index, number, event, 0))
@@ -414,7 +414,9 @@
     def checkpoint(self, number: int, upto: int) -> PageValue:
         """Return a page's checkpoint, which replaces the log up to the entry `upto`."""
         failed = (
-            [] if self.has_succeeded else sorted(self.failures_by_machine)[: constants.FAILED_KEPT]
+            []
+            if self.has_succeeded
+            else sorted(self.failures_by_machine)[: constants.MAX_RECORDED_FAILED_MACHINES]
         )
         return self.pages[number].value(upto, failed)
 
@@ -429,7 +431,7 @@
         room = value_b - len(encode(value))
         ops: list[Op] = []
         for index, (try_number, machine) in live.items():
-            room -= len(machine) + constants.PAGE_ENTRY_B // 2
+            room -= len(machine) + constants.ATTEMPT_ENTRY_BYTES // 2
             if room > 0:
                 value.l[index] = (try_number, machine)
             else:
@@ -492,8 +494,11 @@
 
     @property
     def is_faulty(self) -> bool:
-        """Whether it failed on FAULTY_MACHINES machines and never succeeded; starts are limited."""
-        return not self.has_succeeded and len(self.failures_by_machine) >= constants.FAULTY_MACHINES
+        """Whether it failed on several machines and never succeeded; starts are limited."""
+        return (
+            not self.has_succeeded
+            and len(self.failures_by_machine) >= constants.MAX_FAILED_MACHINES_PER_JOB
+        )
 
     @property
     def startable_count(self) -> int:
--- a/src/chalkgrade/record/oplog.py
+++ b/src/chalkgrade/record/oplog.py
@@ -100,7 +100,7 @@
         """Create an empty log; a segment's value may take `value_b` bytes."""
         self._segment_max_b = value_b
         self._segments_kept = max(
-            constants.SEGMENTS_KEPT, constants.SEGMENTS_KEPT_B // max(1, value_b)
+            constants.MIN_LOG_SEGMENTS, constants.MIN_LOG_BYTES // max(1, value_b)
         )
         self.pending: deque[Op] = deque()
         self.appended_count = 0  # operations so far; an operation's number is the count after it
@@ -141,7 +141,7 @@
         while op is not None and len(appends) < max_segments:
             grouped: dict[str, list[tuple[int, int, str | int]]] = {}
             refs: set[PageName] = set()
-            size = constants.CARRIED_BASE_B
+            size = constants.LOG_ENTRY_BASE_BYTES
             while op is not None:
                 op_size = 10 + len(str(op.task)) + len(str(op.try_number)) + len(str(op.event))
                 if op.job not in grouped:
@@ -149,7 +149,7 @@
                 if grouped and size + op_size > self._segment_max_b:
                     break
                 grouped.setdefault(op.job, []).append((op.task, op.try_number, op.event))
-                refs.add((op.job, op.task // constants.PAGE_TASKS))
+                refs.add((op.job, op.task // constants.TASKS_PER_PAGE))
                 size, count = size + op_size, count + 1
                 op = next(waiting, None)
             lsn += 1
@@ -199,7 +199,7 @@
         segment.stamp = revision
         segment.entries.append(append.entry)
         segment.size += len(append.entry) + 1
-        if segment.size > self._segment_max_b * constants.SEGMENT_PART:
+        if segment.size > self._segment_max_b * constants.SEGMENT_FILL_RATIO:
             segment.entries.clear()  # full enough: no more entries are appended
             self._current = None
         segment.needed_pages |= append.page_names
--- a/src/chalkgrade/record/registry.py
+++ b/src/chalkgrade/record/registry.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.outside import NoAnswer, Signal, encode
 from chalkgrade.record import dependency_lists
 from chalkgrade.record.changes import (
@@ -186,7 +186,9 @@
         job = self.jobs[name] = Job(value, stamp, self.oplog, batch)
         if job.in_pipeline:
             job.block()  # until all its dependencies are known to be done
-        log.debug("job %s: %d tasks", name, job.spec.tasks, extra=about(self.office.token, name))
+        log.debug(
+            "job %s: %d tasks", name, job.spec.tasks, extra=decision_fields(self.office.token, name)
+        )
         self.on_job_added(job, observe)
 
     async def watch_submissions(self) -> None:
@@ -194,7 +196,7 @@
         while True:
             try:
                 changes = await self.ledger.watch_changes(
-                    JOB_PREFIX, self.revision, constants.WATCH_BLOCK_S
+                    JOB_PREFIX, self.revision, constants.LONG_WATCH_BLOCK_S
                 )
                 for change in changes.log:
                     if change.write is not None:
@@ -203,7 +205,7 @@
                 self.revision = 0
             except (NoAnswer, NotExecuted) as error:
                 log.debug("submission watch failed: %s", error)
-                await asyncio.sleep(constants.STATE_PAUSE_S)
+                await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
                 continue
             else:
                 self.revision = max(self.revision, changes.ledgerRev)
@@ -214,7 +216,7 @@
                         await self._load_record(row.v, row.stamp, observe=True)
                     self.revision = revision
                 except (NoAnswer, NotExecuted):
-                    await asyncio.sleep(constants.STATE_PAUSE_S)
+                    await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
 
     # -- writing ------------------------------------------------------------------
 
@@ -314,10 +316,10 @@
     def pending_changes(self) -> Iterator[RecordChange]:
         """Yield all changes that have to be written, the most urgent first."""
         available_ops = min(
-            self.limits.txn_ops - constants.END_OPS, int(self.ledger.writes.level())
+            self.limits.txn_ops - constants.JOB_END_OPS, int(self.ledger.writes.available_tokens())
         )
         # The total size of a commit is limited as well: only a few large values fit.
-        values_per_commit = constants.COMMIT_MAX_B // 2 // self.limits.max_value_bytes
+        values_per_commit = constants.MAX_COMMIT_BYTES // 2 // self.limits.max_value_bytes
         flush = self.oplog.next_flush(max(1, min(available_ops, values_per_commit)))
         if flush is not None:
             # Attempts and their outcomes, of all jobs: machines wait for launches, and resources
@@ -416,7 +418,10 @@
             self.orphan_keys += dependency_lists.part_keys(job.name, job.stored_dependencies)
             self.oplog.release_pages({(job.name, number) for number in job.pages})
             log.info(
-                "job ended: %s: %s", job.name, status, extra=about(self.office.token, job.name)
+                "job ended: %s: %s",
+                job.name,
+                status,
+                extra=decision_fields(self.office.token, job.name),
             )
             self.on_job_ended(job, status)
 
@@ -449,7 +454,7 @@
                 "job aborted: %s with %d live attempts",
                 job.name,
                 len(job.live),
-                extra=about(self.office.token, job.name),
+                extra=decision_fields(self.office.token, job.name),
             )
             self.on_job_aborted(job)
 
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -43,8 +43,10 @@
     def collect_changes(self) -> tuple[list[RecordChange], Edits]:
         """Select the changes of the next commit, within its limits and the current budget."""
         limits = self.ledger.limits
-        ops_left = min(limits.txn_ops, max(constants.END_OPS, int(self.ledger.writes.level())))
-        bytes_left = constants.COMMIT_MAX_B - constants.VALUE_SPARE_B
+        ops_left = min(
+            limits.txn_ops, max(constants.JOB_END_OPS, int(self.ledger.writes.available_tokens()))
+        )
+        bytes_left = constants.MAX_COMMIT_BYTES - constants.COMMIT_HEADROOM_BYTES
         conditions_left = limits.max_conditions - ops_left - 1
         out: list[RecordChange] = []
         edits: Edits = {}
@@ -64,7 +66,7 @@
                 out and (size > bytes_left or len(change.absent_keys) > conditions_left)
             ):
                 skipped += 1
-                if skipped > constants.MISSES:
+                if skipped > constants.MAX_SKIPPED_CHANGES:
                     break
                 continue  # a smaller change after it may fit
             ops_left, bytes_left, conditions_left = (
@@ -114,7 +116,7 @@
         while True:
             await self.registry.flush_wanted.wait()
             self.is_idle = False
-            await asyncio.sleep(constants.COALESCE_S)
+            await asyncio.sleep(constants.COMMIT_COALESCING_S)
             self.registry.flush_wanted.clear()
             while True:
                 await self._wait_for_ends()
@@ -127,21 +129,21 @@
             self.progress_count += self.is_idle
 
     async def wait_for_stall(self) -> None:
-        """Return once the main lane has made no progress for STALL_S while this node led.
+        """Return once the main lane has made no progress for WRITE_STALL_S while this node led.
 
         Without this check, one log value that was too long (see `oplog`) let a leader place work
         for seven minutes that was never written, while machines were idle and nothing was logged.
         Whatever the cause of a stall, the next leader reads the record and continues.
         """
         stalled_s, last_mark = 0.0, self._progress_mark()
-        while stalled_s < constants.STALL_S:
-            await asyncio.sleep(constants.STALL_LOOK_S)
+        while stalled_s < constants.WRITE_STALL_S:
+            await asyncio.sleep(constants.WRITE_STALL_CHECK_INTERVAL_S)
             mark = self._progress_mark()
             made_progress = (
                 self.is_idle or mark != last_mark or not self.office.leadership.may_act()
             )
             stalled_s, last_mark = (
-                0.0 if made_progress else stalled_s + constants.STALL_LOOK_S,
+                0.0 if made_progress else stalled_s + constants.WRITE_STALL_CHECK_INTERVAL_S,
                 mark,
             )
         log.error(
@@ -158,15 +160,15 @@
         second, users were told that a job is done only a minute after its end.
         """
         writes, started_at = self.ledger.writes, self.office.clock.now()
-        while self.office.clock.now() < started_at + constants.GATHER_S:
+        while self.office.clock.now() < started_at + constants.MAX_JOB_END_BATCH_WAIT_S:
             needed_ops = min(
-                constants.END_OPS + len(self.registry.ending),
-                constants.GATHER_PART * writes.burst,
+                constants.JOB_END_OPS + len(self.registry.ending),
+                constants.JOB_END_BATCH_RATIO * writes.max_tokens,
                 self.ledger.limits.txn_ops,
             )
-            if len(self.registry.ending) < 2 or writes.level() >= needed_ops:
+            if len(self.registry.ending) < 2 or writes.available_tokens() >= needed_ops:
                 return
-            await asyncio.sleep(constants.COALESCE_S)
+            await asyncio.sleep(constants.COMMIT_COALESCING_S)
 
     async def _wait_for_submissions(self) -> None:
         """Where the change budget is low, delay so that submissions share commits.
@@ -175,13 +177,17 @@
         otherwise take every change before the several that an end needs at once are available.
         """
         writes, now = self.ledger.writes, self.office.clock.now
-        if writes.level() < constants.ALONE_PART * writes.burst:
-            await asyncio.sleep(constants.COALESCE_S)  # let more submissions join
-        while writes.level() < constants.ALONE_PART * writes.burst:
-            pause_s = self.admitted_at + 1 / (constants.ADMIT_PART * writes.rate) - now()
+        if writes.available_tokens() < constants.UNBATCHED_ADMISSION_RATIO * writes.max_tokens:
+            await asyncio.sleep(constants.COMMIT_COALESCING_S)  # let more submissions join
+        while writes.available_tokens() < constants.UNBATCHED_ADMISSION_RATIO * writes.max_tokens:
+            pause_s = (
+                self.admitted_at
+                + 1 / (constants.ADMISSION_WRITE_RATE_RATIO * writes.rate_per_s)
+                - now()
+            )
             if pause_s <= 0:
                 break
-            await asyncio.sleep(min(pause_s, constants.COALESCE_S))
+            await asyncio.sleep(min(pause_s, constants.COMMIT_COALESCING_S))
 
     async def run_admissions(self) -> None:
         """Commit submissions until cancelled; several such loops run at once.
@@ -247,18 +253,18 @@
             # After a long silence another node may lead. The fence would reject this commit, but
             # it would use up changes of the budget that belongs to the new leader by then.
             while not self.office.leadership.may_act():
-                await asyncio.sleep(constants.STATE_PAUSE_S)
+                await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
             try:
-                async with asyncio.timeout(constants.COMMIT_MOST_S):
+                async with asyncio.timeout(constants.COMMIT_TIMEOUT_S):
                     return await self.ledger.commit_or_observe(
                         self.ledger.commit_hedged(conditions, apply),
                         partial(self._applied_revision_or_zero, writes),
                     )
             except NotExecuted:
-                await asyncio.sleep(constants.STATE_PAUSE_S)
+                await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
             except (NoAnswer, TimeoutError):
                 maybe_applied = True
-                await asyncio.sleep(constants.STATE_PAUSE_S)
+                await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
             except Conflict as conflict:
                 maybe_applied = maybe_applied or conflict.maybe_applied
                 if maybe_applied and LEADER_KEY not in conflict.failed:
@@ -266,7 +272,7 @@
                     # for rejected, its batch would stay in the record after its jobs' ends.
                     revision = await self._applied_revision(writes)
                     if revision is None:
-                        await asyncio.sleep(constants.STATE_PAUSE_S)
+                        await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
                         continue
                     if revision:
                         return revision
@@ -282,7 +288,7 @@
                     log.warning("state service limits reduced: %s", error)
                     revision = await self._applied_revision(writes) if maybe_applied else 0
                     while revision is None:
-                        await asyncio.sleep(constants.STATE_PAUSE_S)
+                        await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
                         revision = await self._applied_revision(writes)
                     return revision
                 log.error("commit rejected: %s; stepping down", error)
--- a/src/chalkgrade/region/day.py
+++ b/src/chalkgrade/region/day.py
@@ -12,8 +12,8 @@
     StateLimits,
     Team,
     Workers,
-    decode,
-    named,
+    decode_toml,
+    read_settings_file,
 )
 
 
@@ -154,8 +154,8 @@
         if not 0 < value <= 86400:
             raise SettingsError(f"{field}: must be over 0 and at most 86400, is {value:g}")
     machines = sum(room.count for room in day.rooms)
-    if machines > constants.DAY_MACHINES:
-        raise SettingsError(f"rooms: at most {constants.DAY_MACHINES} machines, are {machines}")
+    if machines > constants.MAX_DAY_MACHINES:
+        raise SettingsError(f"rooms: at most {constants.MAX_DAY_MACHINES} machines, are {machines}")
     names = members(day)
     for number, room in enumerate(day.rooms):
         known(f"rooms[{number}].kind", room.kind, {kind.name for kind in day.kinds})
@@ -165,13 +165,13 @@
     for number, work in enumerate(day.classes):
         for team in work.teams or [""]:
             known(f"classes[{number}].teams", team, {team.name for team in day.teams})
-        if not 1 <= work.tasks[0] <= work.tasks[1] <= constants.DAY_TASKS:
-            most = constants.DAY_TASKS
+        if not 1 <= work.tasks[0] <= work.tasks[1] <= constants.MAX_DAY_TASKS_PER_JOB:
+            most = constants.MAX_DAY_TASKS_PER_JOB
             raise SettingsError(f"classes[{number}].tasks: must be two rising counts up to {most}")
         jobs = work.at_start + work.a_minute * day.seconds / 60
-        if work.at_start < 0 or work.a_minute < 0 or jobs > constants.DAY_JOBS:
+        if work.at_start < 0 or work.a_minute < 0 or jobs > constants.MAX_DAY_CLASS_JOBS:
             raise SettingsError(
-                f"classes[{number}].a_minute: must make 0 to {constants.DAY_JOBS} jobs"
+                f"classes[{number}].a_minute: must make 0 to {constants.MAX_DAY_CLASS_JOBS} jobs"
             )
         if not 0 <= work.cancelled <= 1:
             raise SettingsError(
@@ -219,9 +219,9 @@
         for field, kind in OF_ONE.items():
             if getattr(fault, field) and fault.kind != kind:
                 raise SettingsError(f"{where}.{field}: only {kind} may have it, not {fault.kind}")
-        if fault.times > constants.DAY_FLAPS:
+        if fault.times > constants.MAX_DAY_FAULT_FLAPS:
             raise SettingsError(
-                f"{where}.times: must be at most {constants.DAY_FLAPS}, is {fault.times}"
+                f"{where}.times: must be at most {constants.MAX_DAY_FAULT_FLAPS}, is {fault.times}"
             )
 
 
@@ -232,9 +232,9 @@
 
 def parse(text: bytes) -> Day:
     """Decode and check a day; SettingsError names line and field."""
-    return decode(text, Day, _check)
+    return decode_toml(text, Day, _check)
 
 
 def read(path: Path) -> Day:
     """As `parse`, from a file that the error names."""
-    return named(path, parse)
+    return read_settings_file(path, parse)
--- a/src/chalkgrade/region/store.py
+++ b/src/chalkgrade/region/store.py
@@ -59,7 +59,7 @@
 
     def fall(self) -> None:
         """The limits of `state.next` hold from now on; what is stored stays."""
-        state = self.world.settings.cluster.state.least()
+        state = self.world.settings.cluster.state.lowest_limits()
         self.limits = {"requests": state.rps, "changes": state.write_rps}
         self.value_b, self.txn_ops = state.value_kb * 1024, state.txn_ops
         self.fallen = True
--- a/src/chalkgrade/region/troubles.py
+++ b/src/chalkgrade/region/troubles.py
@@ -78,10 +78,10 @@
         """Restarts within a fraction of a second at every step of finding a leader; s."""
         for _ in range(times):
             for member in self.leaders() or self.members[:1]:
-                self.spawn(self.restart(member, self.rng.uniform(*constants.BACK_SOON_S)))
+                self.spawn(self.restart(member, self.rng.uniform(*constants.FAST_RESTART_RANGE_S)))
             await asyncio.sleep(self.rng.uniform(0.0, every))
             other = self.rng.choice(self.members)
-            self.spawn(self.restart(other, self.rng.uniform(*constants.BACK_SOON_S)))
+            self.spawn(self.restart(other, self.rng.uniform(*constants.FAST_RESTART_RANGE_S)))
             self.flapped_until = self.now
             await asyncio.sleep(self.rng.uniform(0.0, every))
 
@@ -125,7 +125,9 @@
     def back(self) -> float:
         """After how long a process that ended is back: at once or after a while; s."""
         soon = self.rng.random() < 0.5
-        return self.rng.uniform(*(constants.BACK_SOON_S if soon else constants.BACK_LATE_S))
+        return self.rng.uniform(
+            *(constants.FAST_RESTART_RANGE_S if soon else constants.SLOW_RESTART_RANGE_S)
+        )
 
     # -- drawn ----------------------------------------------------------------------
 
--- a/src/chalkgrade/renting/boots.py
+++ b/src/chalkgrade/renting/boots.py
@@ -20,9 +20,9 @@
 
     def came(self, pool: Pool, born: float, now: float, nominal: float) -> None:
         """A machine reports for the first time."""
-        seen = min(constants.BOOT_RATIO_MAX, max(0.0, now - born) / max(nominal, 1e-6))
+        seen = min(constants.MAX_BOOT_TIME_RATIO, max(0.0, now - born) / max(nominal, 1e-6))
         old = self._ratio.get(pool, 1.0)
-        self._ratio[pool] = old + constants.BOOT_ALPHA * (seen - old)
+        self._ratio[pool] = old + constants.BOOT_TIME_WEIGHT * (seen - old)
         self._proof[pool] = max(born, self._proof.get(pool, born))
 
     def lost(self, pool: Pool, born: float) -> None:
@@ -42,16 +42,16 @@
     ) -> None:
         """What the last leader told, within the bounds of what can be seen."""
         for pool, ratio in ratios:
-            self._ratio[pool] = min(constants.BOOT_RATIO_MAX, max(0.0, ratio))
+            self._ratio[pool] = min(constants.MAX_BOOT_TIME_RATIO, max(0.0, ratio))
         for pool, births in never:
             self._lost[pool] = [at + shift for at in births]
 
     def expected(self, pool: Pool, nominal: float) -> float:
         """How long a machine rented now will take."""
-        return max(constants.BOOT_LEAST_S, nominal * self._ratio.get(pool, 1.0))
+        return max(constants.MIN_BOOT_TIME_S, nominal * self._ratio.get(pool, 1.0))
 
     def late(self, pool: Pool, nominal: float, age: float) -> bool:
-        return age > constants.BOOT_LATE * max(self.expected(pool, nominal), nominal)
+        return age > constants.LATE_BOOT_RATIO * max(self.expected(pool, nominal), nominal)
 
     def left(self, pool: Pool, nominal: float, age: float) -> float | None:
         """How long a booting machine will still take; None: it is not to be counted on.
@@ -61,12 +61,14 @@
         """
         if self.late(pool, nominal, age):
             return None
-        return max(constants.BOOT_LEAST_S, self.expected(pool, nominal) - age, age / 4)
+        return max(constants.MIN_BOOT_TIME_S, self.expected(pool, nominal) - age, age / 4)
 
     def doubtful(self, pool: Pool, nominal: float, booting: Iterable[float], now: float) -> bool:
         """Whether a pool's machines do not come up: several late ones, and none since."""
         proof = self._proof.get(pool, -1e18)
         births = [born for born in booting if self.late(pool, nominal, now - born)]
-        recent = [b for b in self._lost.get(pool, ()) if now - b < constants.BOOT_DOUBT_S]
+        recent = [
+            b for b in self._lost.get(pool, ()) if now - b < constants.FAILED_BOOT_RETENTION_S
+        ]
         self._lost[pool] = recent
-        return sum(born > proof for born in [*births, *recent]) >= constants.BOOT_DOUBTS
+        return sum(born > proof for born in [*births, *recent]) >= constants.MIN_LATE_BOOTS
--- a/src/chalkgrade/renting/cloud.py
+++ b/src/chalkgrade/renting/cloud.py
@@ -10,7 +10,7 @@
 
 from chalkgrade import constants
 from chalkgrade.machines.flavors import Flavor, Pool
-from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
+from chalkgrade.outside import Clock, Http, NoAnswer, TokenBucket, decode_response, encode
 
 
 class Listed(msgspec.Struct):
@@ -48,23 +48,23 @@
         self._clock = clock
         self._addr = addr
         # Only the leader calls regularly; followers read the flavors once at their start.
-        self.calls = Bucket(clock, rps * 0.8, rps)
+        self.calls = TokenBucket(clock, rps * 0.8, rps)
         self.counts: dict[str, int] = {}
         self.answered_at = self.failed_at = -1e9
 
     def reached(self) -> bool | None:
         """Whether the last call was answered at all; None when there was none lately."""
         last = max(self.answered_at, self.failed_at)
-        if self._clock.now() - last > constants.REACHED_S:
+        if self._clock.now() - last > constants.CLOUD_REACHABLE_S:
             return None
         return self.answered_at >= self.failed_at
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        await self.calls.wait()
+        await self.calls.acquire()
         payload = None if body is None else encode(body)
         try:
             reply = await self._http.call(
-                self._addr, method, path, payload, constants.CLOUD_TIMEOUT_S
+                self._addr, method, path, payload, constants.CLOUD_REQUEST_TIMEOUT_S
             )
         except NoAnswer:
             self.failed_at = self._clock.now()
@@ -77,7 +77,7 @@
         status, data = await self._call("GET", "/flavors")
         if status != 200:
             raise NoAnswer(f"flavors: status {status}")
-        return decode(data, Flavors).hosttypes
+        return decode_response(data, Flavors).hosttypes
 
     async def machines(self) -> tuple[list[Listed], float]:
         """All machines, and when the list was asked for."""
@@ -89,7 +89,7 @@
             status, data = await self._call("GET", path)
             if status != 200:
                 raise NoAnswer(f"list: status {status}")
-            page = decode(data, MachineList)
+            page = decode_response(data, MachineList)
             rows += page.hosts
             if not page.more or not page.hosts:
                 return rows, asked
@@ -106,7 +106,7 @@
         }
         status, data = await self._call("POST", "/rentals", body)
         if status == 200:
-            return decode(data, Hosts).hosts
+            return decode_response(data, Hosts).hosts
         if status == 503 and b"no capacity" in data:
             raise Refused
         if status == 400:
--- a/src/chalkgrade/renting/headroom.py
+++ b/src/chalkgrade/renting/headroom.py
@@ -20,7 +20,7 @@
 
 def step(free_in: float) -> float:
     """The moment of a plan at which something is counted as free."""
-    return math.ceil(free_in / constants.PLAN_STEP_S) * constants.PLAN_STEP_S
+    return math.ceil(free_in / constants.RENTAL_PLAN_STEP_S) * constants.RENTAL_PLAN_STEP_S
 
 
 class Lane:
--- a/src/chalkgrade/renting/needs.py
+++ b/src/chalkgrade/renting/needs.py
@@ -83,7 +83,7 @@
 
     def _patience_s(self, job: Job) -> float:
         guest = self._queues.is_best_effort(job)
-        patience = constants.GUEST_PATIENCE_S if guest else constants.PATIENCE_S
+        patience = constants.MAX_GUEST_RENTAL_WAIT_S if guest else constants.MAX_RENTAL_WAIT_S
         return min(patience, max(0.0, self._queues.slack_s(job)))
 
     def _add(self, out: list[Need], need: Need) -> None:
@@ -101,7 +101,7 @@
         boot_s = min((flavor.bootS for flavor in self._flavors.values()), default=0.0)
         for job, in_s in coming:
             if in_s <= boot_s:
-                patience = in_s + constants.PATIENCE_S
+                patience = in_s + constants.MAX_RENTAL_WAIT_S
                 yield Need(job.spec, job.spec.tasks, self._queues.expected_run_s(job), patience)
 
     def _bound(self, job: Job) -> JobSpec:
--- a/src/chalkgrade/renting/plan.py
+++ b/src/chalkgrade/renting/plan.py
@@ -82,7 +82,7 @@
 def price(flavor: Flavor, standby: bool) -> float:
     """What an hour of use costs, with the boot time that is charged before it."""
     hourly = flavor.spotPrice if standby else flavor.hourly
-    return hourly * (1 + flavor.bootS / constants.STAY_S)
+    return hourly * (1 + flavor.bootS / constants.EXPECTED_RENTAL_DURATION_S)
 
 
 def _offer(
@@ -109,7 +109,7 @@
                     # Useful room is what can be filled now, not all of a big machine.
                     offers.append((price(flavor, standby) / min(count, tasks), full, pool, count))
     # Dear pools are for work that would else wait for very long, or for ever.
-    ratio = float("inf") if _dear(start) else constants.PRICE_RATIO_MAX
+    ratio = float("inf") if _dear(start) else constants.MAX_PRICE_RATIO
     for _, full, pool, count in sorted(offers):
         if full <= cheapest * ratio:
             return pool, count
@@ -118,7 +118,7 @@
 
 def _dear(start: float) -> bool:
     """Whether work that would start then may use dear pools."""
-    return start > constants.DEAR_WAIT_S
+    return start > constants.EXPENSIVE_POOL_WAIT_S
 
 
 class RentalPlan:
@@ -182,7 +182,7 @@
 
     def _rent(self, spec: JobSpec, pool: Pool, cpus: int) -> None:
         self.rented[pool] = self.rented.get(pool, 0) + 1
-        if self.rented[pool] >= constants.RENT_MAX:
+        if self.rented[pool] >= constants.MAX_RENTED_PER_REQUEST:
             self._shut.add(pool)
         self._lanes.add(pool, self._boot_s(pool), cpus)
         self._report.of(spec.owner).rented += int(self._flavors[pool[0]].vcpus)
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -12,7 +12,7 @@
 
 from chalkgrade import constants
 from chalkgrade.extensions.components import Component, Sample
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, persisted_flavors, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.placement import may_use_machine
@@ -84,8 +84,8 @@
             there = [m for m in self.fleet.machines.values() if m.status == "running" or m.attempts]
             heard = sum(machine.reported_at is not None for machine in there)
             self.settled = (
-                self.clock.now() - self.began > constants.NEW_TERM_S
-                or 0 < constants.NEW_TERM_PART * len(there) <= heard
+                self.clock.now() - self.began > constants.NEW_TERM_RENTAL_DELAY_S
+                or 0 < constants.NEW_TERM_REPORTED_RATIO * len(there) <= heard
             )
         return self.settled
 
@@ -105,11 +105,13 @@
         """Say what the last plan made of each team's work: seldom to operators, else for traces."""
         if not self.report.teams:
             return
-        often = now - self.told_at < constants.TELL_EVERY_S
+        often = now - self.told_at < constants.STATUS_LOG_INTERVAL_S
         if not often:
             self.told_at = now
         level = logging.DEBUG if often else logging.INFO
-        log.log(level, "rental plan: %s", self.report.line(), extra=about(self.fleet.token))
+        log.log(
+            level, "rental plan: %s", self.report.line(), extra=decision_fields(self.fleet.token)
+        )
 
     def refused(self) -> set[Pool]:
         """Pools that had no capacity of late."""
@@ -121,7 +123,7 @@
         while True:
             began = self.clock.now()
             try:
-                if began - flavors_at > constants.FLAVORS_EVERY_S:
+                if began - flavors_at > constants.FLAVORS_READ_INTERVAL_S:
                     await self._refresh_flavors()
                     flavors_at = began
                 await self._refresh_list()
@@ -131,7 +133,7 @@
                         await self._rent()
             except NoAnswer as error:
                 log.info("cloud: %s", error)
-            pause = max(0.3, constants.LIST_EVERY_S - (self.clock.now() - began))
+            pause = max(0.3, constants.MACHINE_LIST_INTERVAL_S - (self.clock.now() - began))
             self.wanted.clear()
             try:
                 async with asyncio.timeout(pause):
@@ -140,7 +142,10 @@
                 continue
             # New work: machines take long enough to boot. The list can wait. But many
             # small jobs a second must not each cost a plan.
-            gap = max(constants.PLAN_GAP_S, constants.PLAN_REST * self.plan_took)
+            gap = max(
+                constants.MIN_RENTAL_PLAN_INTERVAL_S,
+                constants.RENTAL_PLAN_PAUSE_RATIO * self.plan_took,
+            )
             await asyncio.sleep(max(0.0, self.planned_at + gap - self.clock.now()))
             try:
                 if self.live() and self._settle():
@@ -195,27 +200,32 @@
             return "not listed and silent"
         if machine.reported_at is None and flavor is not None:
             pool = (machine.hosttype, machine.site, machine.standby)
-            patience = max(constants.BOOT_PATIENCE_MIN_S, constants.BOOT_PATIENCE * flavor.bootS)
+            patience = max(
+                constants.MIN_BOOT_TIMEOUT_S, constants.BOOT_TIMEOUT_RATIO * flavor.bootS
+            )
             age = now - machine.rented_at
-            if now - machine.known_at > constants.BOOT_KNOWN_S:
+            if now - machine.known_at > constants.NEW_TERM_FIRST_REPORT_TIMEOUT_S:
                 if age > patience:
                     return "never came up"
                 if self.boots.late(pool, flavor.bootS, age) and not self.work_waits:
                     return "late, and nothing waits for it"
         elif (
             machine.reported_at is not None
-            and silent > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
+            and silent > constants.SILENT_RELEASE_LEASE_RATIO * self.fleet.lease_s
         ):
             return "silent"
         deaf = machine.response_tracker.responses_lost_since
-        if deaf is not None and now - deaf > constants.SILENT_RELEASE_LEASES * self.fleet.lease_s:
+        if (
+            deaf is not None
+            and now - deaf > constants.SILENT_RELEASE_LEASE_RATIO * self.fleet.lease_s
+        ):
             return "hears nothing"
         # Silent to the last leader and to us: a change of leader begins nothing anew.
         begun = machine.silent_since if machine.silent_since is not None else now
-        patience = constants.SILENT_RELEASE_LEASES * self.fleet.lease_s
+        patience = constants.SILENT_RELEASE_LEASE_RATIO * self.fleet.lease_s
         if silent > self.fleet.silent_s and now - begun > patience:
             return "silent"
-        if machine.failures >= constants.SUSPECT_FAILURES:
+        if machine.failures >= constants.MAX_MACHINE_FAILURES:
             # Its other tasks would fail too, or never end: they start afresh elsewhere.
             return "suspect"
         return ""
@@ -232,7 +242,7 @@
                 machine.hosttype,
                 machine.site,
                 why,
-                extra=about(self.fleet.token, machine=machine.name),
+                extra=decision_fields(self.fleet.token, machine=machine.name),
             )
             machine.releasing = True
         self.doomed[machine.name] = None
@@ -241,9 +251,9 @@
         """Return what is doomed or idle; what the cloud has confirmed is surely gone."""
         now = self.clock.now()
         patience = self.settings.operator.idle_release_s
-        if self.clock.wall() - self.queues.last_submission_at > constants.LULL_S:
+        if self.clock.wall() - self.queues.last_submission_at > constants.SUBMISSION_LULL_S:
             # Nobody has asked for anything lately: there is less to keep machines for.
-            patience = min(patience, constants.LULL_RELEASE_S)
+            patience = min(patience, constants.LULL_IDLE_RELEASE_S)
         coming = [[job, in_s, job.spec.tasks] for job, in_s in self.coming()]
         for machine in self.fleet.machines.values():
             if machine.attempts or machine.tasks or machine.reported_at is None:
@@ -259,7 +269,7 @@
             if idle > patience and not machine.releasing and not self._kept(machine, coming):
                 self._doom(machine, "idle")
         while self.doomed:
-            names = list(self.doomed)[: constants.RELEASE_MAX]
+            names = list(self.doomed)[: constants.MAX_RELEASED_PER_REQUEST]
             await self.cloud.release(names)
             for name in names:
                 del self.doomed[name]
@@ -306,7 +316,7 @@
                 room = self.waiting.headroom(ends)
                 wanted = plan_rent(needs, have, self.flavors, closed, self.boots, self.report, room)
                 for pool, planned in wanted.items():
-                    count = min(planned, constants.BOOT_PROBES) if pool in doubtful else planned
+                    count = min(planned, constants.MAX_BOOT_PROBES) if pool in doubtful else planned
                     self.hire_number += 1
                     self.hires[pool] = (f"h{self.fleet.token}-{self.hire_number}", count)
             self.plan_took = self.clock.now() - now
@@ -319,12 +329,12 @@
                 except Refused:
                     names = []
                 del self.hires[pool]
-                what = about(self.fleet.token)
+                what = decision_fields(self.fleet.token)
                 log.info("rented %d of %d of %s", len(names), count, pool, extra=what)
                 for name in names:
                     self.fleet.get_or_add(name, *pool).rented_this_term = True
                 if len(names) < count:
-                    self.blocked[pool] = self.clock.now() + constants.REFUSED_S
+                    self.blocked[pool] = self.clock.now() + constants.REFUSED_POOL_PAUSE_S
 
     def _doubtful(self, now: float) -> tuple[set[Pool], list[Pool]]:
         """Pools whose machines do not come up, and those of them that are being tried again."""
@@ -359,7 +369,10 @@
             machine.reported_at is None
             and bool(machine.hosttype)
             and machine.status != "running"
-            and (machine.rented_this_term or now - machine.known_at > constants.BOOT_KNOWN_S)
+            and (
+                machine.rented_this_term
+                or now - machine.known_at > constants.NEW_TERM_FIRST_REPORT_TIMEOUT_S
+            )
         )
 
     def _have(self, now: float) -> tuple[list[Have], dict[Attempt, float]]:
--- a/src/chalkgrade/serving/cancellation_poll.py
+++ b/src/chalkgrade/serving/cancellation_poll.py
@@ -42,7 +42,7 @@
         if name in self._names:
             return
         self._names[name] = self._clock.now()
-        while len(self._names) > constants.TOLD_KEPT:
+        while len(self._names) > constants.MAX_REMEMBERED_CANCELLATIONS:
             _, self._complete_since = self._names.popitem(last=False)
 
     def announced_within(self, ago_s: float) -> list[str] | None:
@@ -51,7 +51,11 @@
         The asking controller counts to the moment when it sent the request, so the time of
         transmission and the drift of both clocks are added.
         """
-        begin = self._clock.now() - ago_s * (1 + constants.CLOCK_DRIFT) - constants.TOLD_SLACK_S
+        begin = (
+            self._clock.now()
+            - ago_s * (1 + constants.CLOCK_DRIFT_RATIO)
+            - constants.CANCELLATION_POLL_SLACK_S
+        )
         if begin <= self._complete_since:
             return None
         return [name for name, at in self._names.items() if at >= begin]
@@ -79,7 +83,7 @@
     async def run(self) -> None:
         """Poll periodically while this leader can't prove its lease but still has worker leases."""
         while True:
-            await asyncio.sleep(constants.TESTIMONY_EVERY_S)
+            await asyncio.sleep(constants.CANCELLATION_POLL_INTERVAL_S)
             term = self._term()
             if term is None or not term.ready:
                 continue
@@ -94,7 +98,7 @@
         ago_s = asked_at - shelter.cancellations_known_until
         request = {"q": "told", "arg": ago_s}
         answers = await asyncio.gather(
-            *(self._peers.ask(m, request, constants.PEER_TIMEOUT_S) for m in self._others),
+            *(self._peers.ask(m, request, constants.PEER_REQUEST_TIMEOUT_S) for m in self._others),
             return_exceptions=True,
         )
         lists = [
--- a/src/chalkgrade/serving/connection_guard.py
+++ b/src/chalkgrade/serving/connection_guard.py
@@ -41,9 +41,9 @@
 
 # How many user requests may be in progress before one of this kind is refused.
 BUSY_USER_REQUESTS_MAX = {
-    RequestKind.SUBMISSION: constants.USERS_BUSY_MAX,
-    RequestKind.QUERY: int(1.25 * constants.USERS_BUSY_MAX),
-    RequestKind.ABORT: int(1.5 * constants.USERS_BUSY_MAX),
+    RequestKind.SUBMISSION: constants.MAX_CONCURRENT_USER_REQUESTS,
+    RequestKind.QUERY: int(1.25 * constants.MAX_CONCURRENT_USER_REQUESTS),
+    RequestKind.ABORT: int(1.5 * constants.MAX_CONCURRENT_USER_REQUESTS),
 }
 
 
@@ -62,9 +62,9 @@
         """`sockets`: how many the platform allows the whole process."""
         self._clock = clock
         self._close = close
-        self.connections_max = int(sockets * (1 - constants.SOCKETS_OUT))
-        self.unfinished_max = int(self.connections_max * constants.UNFINISHED_PART)
-        self.idle_users_max = int(self.connections_max * constants.IDLE_USERS_PART)
+        self.connections_max = int(sockets * (1 - constants.OUTGOING_SOCKETS_RATIO))
+        self.unfinished_max = int(self.connections_max * constants.MAX_UNFINISHED_CONNECTIONS_RATIO)
+        self.idle_users_max = int(self.connections_max * constants.MAX_IDLE_USER_CONNECTIONS_RATIO)
         # Connections by state, the oldest first: one moves to the end when its state changes.
         self._entries: dict[ConnectionState, dict[K, _Entry]] = {
             state: {} for state in ConnectionState
@@ -90,7 +90,7 @@
 
     def is_crowded(self) -> bool:
         """Return whether few sockets are left, so that connections close after an answer."""
-        return len(self) > constants.CROWDED_PART * self.connections_max
+        return len(self) > constants.CROWDED_CONNECTIONS_RATIO * self.connections_max
 
     def _set_state(self, key: K, state: ConnectionState, kind: RequestKind | None = None) -> None:
         entry = self._remove(key) or _Entry(0.0)
@@ -127,10 +127,10 @@
             self._entries[ConnectionState.IDLE],
         )
         oldest, entry = next(iter(unfinished.items()))
-        if self._clock.now() - entry.since > constants.UNFINISHED_NEW_S:
+        if self._clock.now() - entry.since > constants.NEW_CONNECTION_GRACE_S:
             return oldest
         users = self._user_connections(ConnectionState.IDLE)
-        if not users and len(unfinished) > constants.UNFINISHED_KEPT:
+        if not users and len(unfinished) > constants.MAX_OLD_UNFINISHED_CONNECTIONS:
             return oldest
         for kind, count in self._kind_counts[ConnectionState.IDLE].items():
             if count:
@@ -194,16 +194,16 @@
         """Close unfinished connections that take too long, and those that are too many and not new.
 
         After a stall of this process, complete requests may be waiting unread. Users and workers
-        give up on a request before `REQUEST_S` is over, so closing older ones loses nothing.
+        give up on a request before `READ_TIMEOUT_S` is over, so closing older ones loses nothing.
         """
         now = self._clock.now()
         unfinished = self._entries[ConnectionState.UNFINISHED]
-        excess = len(unfinished) - constants.UNFINISHED_KEPT
+        excess = len(unfinished) - constants.MAX_OLD_UNFINISHED_CONNECTIONS
         for key, entry in list(unfinished.items()):
             age = now - entry.since
-            if age > constants.REQUEST_S:
+            if age > constants.READ_TIMEOUT_S:
                 self._evict(key, "late")
-            elif excess > 0 and age > constants.UNFINISHED_NEW_S:
+            elif excess > 0 and age > constants.NEW_CONNECTION_GRACE_S:
                 self._evict(key, "crowded")
             else:
                 break
--- a/src/chalkgrade/serving/handover.py
+++ b/src/chalkgrade/serving/handover.py
@@ -60,7 +60,7 @@
     async def run(self) -> None:
         """While leading, check periodically whether the lead should be transferred."""
         while True:
-            await asyncio.sleep(constants.FITNESS_EVERY_S)
+            await asyncio.sleep(constants.HEALTH_CHECK_INTERVAL_S)
             if not self.leadership.may_act():
                 continue
             cloud = self.cloud
@@ -76,10 +76,10 @@
     async def transfer_lead(self, why: str) -> bool:
         """Try to transfer the lead to a willing candidate; True if the key was transferred."""
         moved = False
-        for member in self.candidates()[: constants.HANDOVER_ASKED]:
+        for member in self.candidates()[: constants.MAX_HANDOVER_CANDIDATES]:
             try:
                 message = {"q": "succeed", "arg": why}
-                reply = await self.peers.ask(member, message, constants.SUCCEED_S)
+                reply = await self.peers.ask(member, message, constants.HANDOVER_REQUEST_TIMEOUT_S)
                 if reply.get("status") != 200:
                     continue
                 ready = msgspec.convert(reply.get("body"), SuccessorOffer)
@@ -118,9 +118,12 @@
             return refusal
         try:
             if why == CLOUD:
-                async with asyncio.timeout(constants.SUCCEED_S / 2):
+                async with asyncio.timeout(constants.HANDOVER_REQUEST_TIMEOUT_S / 2):
                     await self.cloud.flavors()
-            elif why != WORKERS or self.clock.now() - self.direct_report_at > constants.UNFIT_S:
+            elif (
+                why != WORKERS
+                or self.clock.now() - self.direct_report_at > constants.UNHEALTHY_LEADER_TIMEOUT_S
+            ):
                 return refusal
             offer = await self.leadership.prepare_takeover()
         except (NoAnswer, NotExecuted, Rejected, TimeoutError):
--- a/src/chalkgrade/serving/job_api.py
+++ b/src/chalkgrade/serving/job_api.py
@@ -101,7 +101,7 @@
         """Store a final state, which never changes, and return the answer for it."""
         answer = {"nameId": name, "status": status, "done": done, "running": 0}
         self.finals[name] = answer
-        while len(self.finals) > constants.FINAL_CACHE:
+        while len(self.finals) > constants.MAX_CACHED_FINAL_STATES:
             self.finals.popitem(last=False)
         self.last_leader_answers.pop(name, None)
         return answer
@@ -114,7 +114,7 @@
                 if not revision:
                     revision = await self.ledger.current_revision(LEADER_KEY)
                 changes = await self.ledger.watch_changes(
-                    END_PREFIX, revision, constants.WATCH_BLOCK_S
+                    END_PREFIX, revision, constants.LONG_WATCH_BLOCK_S
                 )
             except Compacted:
                 revision = 0
@@ -127,7 +127,7 @@
                         name = change.write.removeprefix(END_PREFIX)
                         self.remember_final_state(name, end.status, end.tasks)
                 revision = max(revision, changes.ledgerRev)
-            await asyncio.sleep(constants.FINALS_PAUSE_S)
+            await asyncio.sleep(constants.FINAL_STATES_POLL_INTERVAL_S)
 
     # -- submissions --------------------------------------------------------------
 
@@ -191,7 +191,9 @@
         if self.term is not None:
             answer = await self.submit_as_leader(spec)
         else:
-            answer = await self._ask_leader("submit", body.decode(), constants.PEER_TIMEOUT_S)
+            answer = await self._ask_leader(
+                "submit", body.decode(), constants.PEER_REQUEST_TIMEOUT_S
+            )
         if answer[0] != 503 or answer[1].get("known"):
             return answer
         try:
@@ -261,7 +263,7 @@
                             "v": msgspec.Raw(dependency_lists.encode_record(value)),
                         }
                     ],
-                    timeout=constants.STATE_TIMEOUT_S / 2,
+                    timeout=constants.STATE_REQUEST_TIMEOUT_S / 2,
                 )
                 await self.ledger.commit_or_observe(commit, read_stamp)
             except Conflict:
@@ -298,7 +300,7 @@
 
     async def _status_from_leader(self, name: str) -> Answer:
         """Ask the leader for a job's status."""
-        return await self._ask_leader("status", name, constants.PEER_TIMEOUT_S / 2)
+        return await self._ask_leader("status", name, constants.PEER_REQUEST_TIMEOUT_S / 2)
 
     async def _ask_leader(self, what: str, name: str, timeout: float) -> Answer:
         """Ask the leader, maybe this node; 404 means only that its registry lacks the job."""
@@ -316,7 +318,7 @@
             if answer[0] in (200, COMMITS_OPEN) and told is not None:
                 self.last_leader_answers[name] = told
                 self.last_leader_answers.move_to_end(name)
-                while len(self.last_leader_answers) > constants.FINAL_CACHE:
+                while len(self.last_leader_answers) > constants.MAX_CACHED_FINAL_STATES:
                     self.last_leader_answers.popitem(last=False)
         return answer
 
--- a/src/chalkgrade/serving/job_status.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -54,7 +54,7 @@
         if status == 200:
             return said
         try:
-            async with asyncio.timeout(constants.QUERY_DEADLINE_S):
+            async with asyncio.timeout(constants.STATUS_QUERY_DEADLINE_S):
                 if status == COMMITS_OPEN:
                     account = msgspec.convert(body, JobStatusReport)
                     return await self.record_reader.read_open_commits(
--- a/src/chalkgrade/serving/lookups.py
+++ b/src/chalkgrade/serving/lookups.py
@@ -41,7 +41,7 @@
             if len(self._waiting) >= 2 * self._jobs_per_request:
                 raise NoAnswer("too many lookups are waiting")
             future = self._waiting[name] = asyncio.get_running_loop().create_future()
-            if len(self._requests) < constants.LOOKUP_LANES:
+            if len(self._requests) < constants.MAX_CONCURRENT_LOOKUPS:
                 request = asyncio.create_task(self._process_queue())
                 self._requests.add(request)
                 request.add_done_callback(self._requests.discard)
@@ -49,7 +49,7 @@
 
     async def _process_queue(self) -> None:
         while self._waiting:
-            await self._ledger.queries.wait()
+            await self._ledger.queries.acquire()
             if not self._waiting:
                 return  # another request has taken them
             names = list(self._waiting)[: self._jobs_per_request]
@@ -80,9 +80,12 @@
         in `RecordReader.read_status`.
         """
         ledger = self._ledger
-        available = min(ledger.queries.level(), ledger.requests.level() - constants.HEDGE_READS)
+        available = min(
+            ledger.queries.available_tokens(),
+            ledger.requests.available_tokens() - constants.MIN_HEDGE_READ_TOKENS,
+        )
         names = list(futures)[: max(0, int(available) // 2)]
-        if not names or not ledger.queries.take(2 * len(names)):
+        if not names or not ledger.queries.try_acquire(2 * len(names)):
             return
         found: set[str] = set()
         try:
--- a/src/chalkgrade/serving/netstrings.py
+++ b/src/chalkgrade/serving/netstrings.py
@@ -7,7 +7,7 @@
 from chalkgrade import constants
 from chalkgrade.outside import encode
 
-DIGITS_MAX = len(str(constants.NETSTRING_MAX))
+DIGITS_MAX = len(str(constants.MAX_NETSTRING_BYTES))
 
 
 class FramingError(Exception):
@@ -43,7 +43,7 @@
             if not digits.isdigit() or (len(digits) > 1 and digits[0] == ord("0")):
                 raise FramingError("length prefix is not a plain decimal number")
             size = int(digits)
-            if size > constants.NETSTRING_MAX:
+            if size > constants.MAX_NETSTRING_BYTES:
                 raise FramingError("message exceeds the size limit")
             end = colon + 1 + size
             if len(self._buffer) <= end:
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -62,7 +62,11 @@
             http, clock, settings.endpoints.state, cluster.state, member_count
         )
         self.cloud = Cloud(http, clock, settings.endpoints.cloud, cluster.cloud.rps)
-        grace_s = cluster.workers.cancel_s - cluster.workers.lease_s - constants.LIMBO_MARGIN_S
+        grace_s = (
+            cluster.workers.cancel_s
+            - cluster.workers.lease_s
+            - constants.CANCELLATION_GRACE_MARGIN_S
+        )
         self.leadership = Leadership(
             self.ledger,
             clock,
@@ -78,7 +82,7 @@
             settings.member, others, clock, cluster.skew_ms / 1000, self._on_state_changed
         )
         self.views.own_process = format_process_id(rng.getrandbits(64))
-        pause = constants.CAMPAIGN_PAUSE_S
+        pause = constants.CAMPAIGN_RETRY_INTERVAL_S
         self.presence = Registration(
             self.ledger, self.views, lambda: pause * (1 + rng.random()), self._on_superseded
         )
@@ -144,7 +148,7 @@
                 raise
             except Exception:
                 log.exception("loop failed: restarting it")
-                await asyncio.sleep(constants.TICK_S)
+                await asyncio.sleep(constants.PROBE_ROUND_INTERVAL_S)
 
     def stop(self) -> None:
         """Stop the loops and give up the lead."""
@@ -188,7 +192,7 @@
                     self.flavors.update({flavor.sku: flavor for flavor in found})
             except (NoAnswer, NotExecuted, msgspec.DecodeError) as error:
                 log.info("machine types not loaded: %s", error)
-                await asyncio.sleep(constants.CAMPAIGN_PAUSE_S * (1 + self.rng.random()))
+                await asyncio.sleep(constants.CAMPAIGN_RETRY_INTERVAL_S * (1 + self.rng.random()))
 
     def samples(self) -> Iterable[Sample]:
         """Yield the samples for /metrics: this node's, and those of its term if it leads."""
@@ -250,16 +254,16 @@
             round(views.max_loop_delay_s(), 3),
             round(self._own_lease_duration_s(), 3),
             self.presence.is_superseded,
-            self.clock.now() - self.started_at < constants.YOUNG_S
+            self.clock.now() - self.started_at < constants.MIN_CAMPAIGN_UPTIME_S
             and not self._knows_older_version(),
             views.suspected_members(),
-            constants.VERSION,
+            constants.PROTOCOL_VERSION,
         )
 
     def _knows_older_version(self) -> bool:
         """Return whether some controller runs an earlier version, which will be replaced first."""
         words = (view.word for view in self.views.by_member.values())
-        return any(word is not None and word.version < constants.VERSION for word in words)
+        return any(word is not None and word.version < constants.PROTOCOL_VERSION for word in words)
 
     def _on_status(self, word: MemberStatus) -> None:
         """Another controller's status was accepted: note who leads according to it."""
@@ -288,16 +292,17 @@
     def _own_lease_duration_s(self) -> float:
         """Return the lease duration that this controller's own measurements call for, s."""
         recently_lost = (
-            self.clock.now() - self.leadership.lease_lost_while_healthy_at < constants.LEASE_WARY_S
+            self.clock.now() - self.leadership.lease_lost_while_healthy_at
+            < constants.LONG_LEASE_PERIOD_S
         )
-        response_s = constants.LEASE_SLOWS * self.ledger.slow_response_s()
-        delay_s = constants.LEASE_LATES * self.views.max_loop_delay_s()
+        response_s = constants.LEASE_RESPONSE_TIME_RATIO * self.ledger.slow_response_s()
+        delay_s = constants.LEASE_LOOP_DELAY_RATIO * self.views.max_loop_delay_s()
         wanted = (
-            constants.LEASE_TTL_S
+            constants.MAX_LEADER_LEASE_S
             if recently_lost
-            else constants.LEASE_LEAST_S + response_s + delay_s
+            else constants.MIN_LEADER_LEASE_S + response_s + delay_s
         )
-        return min(constants.LEASE_TTL_S, wanted)
+        return min(constants.MAX_LEADER_LEASE_S, wanted)
 
     def _lease_duration_s(self) -> float:
         """Return the longest lease duration that any controller has recently asked for, s.
@@ -307,9 +312,11 @@
         words = (view.word for view in self.views.by_member.values())
         now = self.clock.wall()
         requested = [
-            w.lease_s for w in words if w is not None and now - w.at < constants.LATE_KEPT_S
+            w.lease_s
+            for w in words
+            if w is not None and now - w.at < constants.LOOP_DELAY_RETENTION_S
         ]
-        return min(constants.LEASE_TTL_S, max([self._own_lease_duration_s(), *requested]))
+        return min(constants.MAX_LEADER_LEASE_S, max([self._own_lease_duration_s(), *requested]))
 
     def _campaign_rank(self) -> int:
         """Return how many controllers are more suitable to lead: they campaign first."""
@@ -325,8 +332,10 @@
     async def _send_hints(self, hints: Hints) -> None:
         """Send the leader's hints to the controllers that are likely to lead next."""
         message = {"q": "hints", "arg": hints}
-        peers = self.handover.candidates()[: constants.HINTS_PEERS]
-        requests = [self.peers.ask(peer, message, constants.PEER_TIMEOUT_S) for peer in peers]
+        peers = self.handover.candidates()[: constants.HINTS_PEER_COUNT]
+        requests = [
+            self.peers.ask(peer, message, constants.PEER_REQUEST_TIMEOUT_S) for peer in peers
+        ]
         for result in await asyncio.gather(*requests, return_exceptions=True):
             if isinstance(result, BaseException) and not isinstance(result, NoAnswer):
                 raise result
@@ -388,7 +397,7 @@
         if self.ledger.has_recent_answer():
             # Right after an outage the machine types may be missing for a moment. Stay with the
             # load balancer: it readmits a controller that left only after several seconds.
-            return bool(self.flavors) or now - self.outage_seen_at < constants.TYPES_S
+            return bool(self.flavors) or now - self.outage_seen_at < constants.MACHINE_TYPES_WAIT_S
         fresh = self.views.recent_statuses()
         if any(word.state for word in fresh):
             return bool(self.flavors and self.report_router.is_leader_reachable())
--- a/src/chalkgrade/serving/record_reader.py
+++ b/src/chalkgrade/serving/record_reader.py
@@ -163,7 +163,7 @@
         """Read a key; the read starts after this call and is shared until it starts."""
         read = self._pending_reads.get(key)
         if read is None:
-            if len(self._pending_reads) >= constants.ROWS_WAITING:
+            if len(self._pending_reads) >= constants.MAX_PENDING_READS:
                 raise NoAnswer("too many reads are waiting")
             read = self._pending_reads[key] = asyncio.create_task(self._start_read(key))
             # Mark a failure as retrieved: all callers may have given up.
@@ -172,7 +172,7 @@
 
     async def _start_read(self, key: str) -> Row | None:
         try:
-            await self.ledger.queries.wait()
+            await self.ledger.queries.acquire()
         finally:
             del self._pending_reads[key]
         return await self.ledger.get(key)
@@ -207,7 +207,7 @@
         if previous is not None:
             await asyncio.wait({previous})
         # The scan counts as one read of the query budget.
-        await self.ledger.queries.wait()
+        await self.ledger.queries.acquire()
         self.current_scan, self.next_scan = self.next_scan, None
         records = await self._scan_own_records()
         unbatched = set(records)
--- a/src/chalkgrade/serving/report_router.py
+++ b/src/chalkgrade/serving/report_router.py
@@ -95,7 +95,7 @@
 
         A worker that is redirected to a failed leader, or gets no address, reaches the new leader
         only seconds later. The wait is well below the 4 s after which workers give up. It ends
-        for good after `LEADERLESS_S`: then the leader is only out of this controller's reach and
+        for good after `MAX_NO_LEADER_S`: then the leader is only out of this controller's reach and
         keeps its lease, and workers have to try other controllers.
         """
         now = self.clock.now()
@@ -104,8 +104,8 @@
             return
         if self.leaderless_since is None:
             self.leaderless_since = now
-        latest = self.leaderless_since + constants.LEADERLESS_S
-        deadline = min(latest, now + constants.LEADER_HOLD_S)
+        latest = self.leaderless_since + constants.MAX_NO_LEADER_S
+        deadline = min(latest, now + constants.NO_LEADER_REPORT_HOLD_S)
         while self.clock.now() < deadline and not self._has_available_leader():
             term = self.term()
             signal = self.leadership.leader_changed if term is None else term.record_loaded
@@ -143,23 +143,25 @@
         # A worker that has tried the leader waits for 1 s before it returns. A report that comes
         # sooner was sent before the redirect, and the one that caused the redirect was a duplicate,
         # as happens in the first second of a term.
-        has_returned = constants.RELAY_LEAST_S <= now - last.at < constants.RELAY_WINDOW_S
+        has_returned = (
+            constants.MIN_REDIRECT_RETURN_S <= now - last.at < constants.MAX_REDIRECT_RETURN_S
+        )
         if has_returned:
             self.views.record_worker_return(leader)
         if has_returned and report.host not in self.relayed_since:
             self.relayed_since[report.host] = now
             self.returns_at.append(now)
-        while self.returns_at and now - self.returns_at[0] > constants.BOUNCE_S:
+        while self.returns_at and now - self.returns_at[0] > constants.RETURNED_WORKERS_WINDOW_S:
             self.returns_at.popleft()
         # If several returned, no worker reaches the leader: relay for all, without trying first.
-        leader_unreached = len(self.returns_at) >= constants.BOUNCES
+        leader_unreached = len(self.returns_at) >= constants.MIN_RETURNED_WORKERS
         relay_started_at = self.relayed_since.get(report.host, now)
-        if (has_returned or leader_unreached) and now - relay_started_at < constants.RELAY_S:
+        if (has_returned or leader_unreached) and now - relay_started_at < constants.RELAY_PERIOD_S:
             self.relayed_since[report.host] = relay_started_at
             self.redirects[report.host] = _Redirect(now, key)
             try:
                 message = {"q": "hello", "arg": msgspec.json.decode(body)}
-                reply = await self.peers.ask(leader, message, constants.RELAY_TIMEOUT_S)
+                reply = await self.peers.ask(leader, message, constants.RELAYED_REPORT_TIMEOUT_S)
                 if reply.get("status") == 200:
                     return 200, reply.get("body") or {}
             except NoAnswer as error:
@@ -170,7 +172,9 @@
         self.redirects[report.host] = _Redirect(now, key)
         if len(self.redirects) > 10_000:
             self.redirects = {
-                h: t for h, t in self.redirects.items() if now - t.at < constants.RELAY_WINDOW_S
+                h: t
+                for h, t in self.redirects.items()
+                if now - t.at < constants.MAX_REDIRECT_RETURN_S
             }
             self.relayed_since = {
                 h: t for h, t in self.relayed_since.items() if h in self.redirects
--- a/src/chalkgrade/serving/server.py
+++ b/src/chalkgrade/serving/server.py
@@ -74,22 +74,22 @@
             self._web,
             loop=self._loop,
             access_log=None,  # type: ignore[arg-type]
-            keepalive_timeout=constants.KEEPALIVE_S,
+            keepalive_timeout=constants.KEEPALIVE_TIMEOUT_S,
         )
         connection.connection_guard = self.connection_guard
         return connection
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._web.shutdown(constants.CLOSE_S)
+        await self._web.shutdown(constants.SHUTDOWN_GRACE_S)
 
     async def watch_connections(self) -> None:
         """Close overdue connections; log the number closed or refused once per interval."""
         logged_at = self._node.clock.now()
         while True:
-            await asyncio.sleep(constants.GUARD_EVERY_S)
+            await asyncio.sleep(constants.CONNECTION_CHECK_INTERVAL_S)
             self.connection_guard.sweep()
-            if self._node.clock.now() - logged_at >= constants.TELL_EVERY_S:
+            if self._node.clock.now() - logged_at >= constants.STATUS_LOG_INTERVAL_S:
                 logged_at = self._node.clock.now()
                 drained = self.connection_guard.drain_counts()
                 if drained:
@@ -123,7 +123,7 @@
             connection, _request_kind(request.method, path)
         ):
             return self._respond(path, 503, {"error": "too many requests at once"}, close=True)
-        if len(body) > constants.BODY_MAX:
+        if len(body) > constants.MAX_BODY_BYTES:
             return self._respond(path, 400, {"error": "body over 64 KiB"})
         try:
             status, answer = await self._node.handle(request.method, path, body)
--- a/src/chalkgrade/settings.py
+++ b/src/chalkgrade/settings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.logs import FORMATS
+from chalkgrade.logs import LOG_FORMATS
 
 T = TypeVar("T")
 
@@ -72,7 +72,7 @@
     txn_ops: int = 16
     next: NextLimits | None = None  # those that hold from some moment on, without notice
 
-    def least(self) -> "StateLimits":
+    def lowest_limits(self) -> "StateLimits":
         """The lesser of the limits of now and of later, one by one."""
         later = self.next or NextLimits()
 
@@ -129,8 +129,8 @@
 class OperatorSettings(msgspec.Struct):
     """What operators may set beyond the platform's file."""
 
-    nmin: int = constants.NMIN
-    round_s: float = constants.ROUND_S
+    nmin: int = constants.MIN_FAIRNESS_TEAMS
+    round_s: float = constants.MAX_ROUND_INTERVAL_S
     idle_release_s: float = constants.IDLE_RELEASE_S
     log_format: str = "plain"
     bursts: list[Burst] = []
@@ -157,12 +157,12 @@
     return host, int(port)
 
 
-def parse(text: bytes) -> Settings:
+def parse_settings(text: bytes) -> Settings:
     """Decode and check the platform's settings."""
-    return decode(text, Settings, _check)
+    return decode_toml(text, Settings, _check)
 
 
-def decode(text: bytes, kind: type[T], check: Callable[[T], None]) -> T:
+def decode_toml(text: bytes, kind: type[T], check: Callable[[T], None]) -> T:
     """Decode TOML and check it; what is wrong is named with its line and what was found."""
     made = _decode(text, kind)
     try:
@@ -170,7 +170,7 @@
     except SettingsError as error:
         # The field begins the message; where it stands helps to find it.
         field = str(error).partition(":")[0]
-        raise SettingsError(str(error), line_of(text, field)) from None
+        raise SettingsError(str(error), find_line(text, field)) from None
     return made
 
 
@@ -197,13 +197,13 @@
         missing = re.search(r"missing required field `(\w+)`", text_of)
         if missing:
             field = f"{field}.{missing[1]}".lstrip(".")
-            raise SettingsError(f"{field}: missing", line_of(text, field)) from None
+            raise SettingsError(f"{field}: missing", find_line(text, field)) from None
         unknown = re.search(r"unknown field `(\w+)`", text_of)
         if unknown:
             field = f"{field}.{unknown[1]}".lstrip(".")
-            raise SettingsError(f"{field}: unknown", line_of(text, field)) from None
+            raise SettingsError(f"{field}: unknown", find_line(text, field)) from None
         wanted = text_of.partition(",")[0].replace("`", "").replace(" | null", "").lower()
-        raise SettingsError(f"{field}: {wanted}, found {value!r}", line_of(text, field)) from None
+        raise SettingsError(f"{field}: {wanted}, found {value!r}", find_line(text, field)) from None
 
 
 def _parts(field: str) -> list[str | int]:
@@ -211,7 +211,7 @@
     return [int(p) if p.isdigit() else p for p in re.findall(r"\w+", field)]
 
 
-def line_of(text: bytes, field: str) -> int | None:
+def find_line(text: bytes, field: str) -> int | None:
     """The line on which a field stands, else its table's; None where neither is written.
 
     Reads what TOML files usually look like: `[table]`, `[[array]]` and `key = value`.
@@ -268,16 +268,16 @@
         ("cluster.workers.report_s", workers.report_s, 0),
         ("cluster.workers.cancel_s", workers.cancel_s, workers.lease_s),
         ("cluster.cloud.rps", cloud.rps, 0),
-        ("cluster.quota.sockets", settings.cluster.quota.sockets, constants.SOCKETS_LEAST - 1),
+        ("cluster.quota.sockets", settings.cluster.quota.sockets, constants.MIN_SOCKETS - 1),
     ]
     later = state.next or NextLimits()
     for where, limits in (("cluster.state", state), ("cluster.state.next", later)):
-        floors = {"rps": 0.0, "write_rps": constants.LEAST_WRITE_RPS}
-        floors["txn_ops"] = constants.LEAST_TXN_OPS
+        floors = {"rps": 0.0, "write_rps": constants.MIN_WRITE_RPS}
+        floors["txn_ops"] = constants.MIN_TXN_OPS
         # What a page's attempts take must fit one commit, a job's record one value.
-        ops = limits.txn_ops or state.least().txn_ops
+        ops = limits.txn_ops or state.lowest_limits().txn_ops
         floors["value_kb"] = max(
-            constants.LEAST_VALUE_KB, constants.PAGE_MOST_KB / max(1, ops) * 8 / 7
+            constants.MIN_VALUE_KB, constants.MAX_PAGE_KB / max(1, ops) * 8 / 7
         )
         checks += [
             (f"{where}.{field}", value, floor)
@@ -330,7 +330,7 @@
     return root, lines
 
 
-def parse_operator(text: bytes, teams: set[str]) -> OperatorSettings:
+def parse_operator_settings(text: bytes, teams: set[str]) -> OperatorSettings:
     """Decode and check the operators' XML; entities and DTDs are refused."""
     root, lines = read_xml(text, "chalkgrade")
     values: dict[str, object] = {}
@@ -351,14 +351,14 @@
 def _value(tag: str, text: str | None) -> object:
     """One of the plain elements."""
     if tag == "log_format":
-        if (text or "").strip() not in FORMATS:
-            raise SettingsError(f"log_format: {text!r} is not one of {', '.join(FORMATS)}")
+        if (text or "").strip() not in LOG_FORMATS:
+            raise SettingsError(f"log_format: {text!r} is not one of {', '.join(LOG_FORMATS)}")
         return (text or "").strip()
     if tag not in OPERATOR_LIMITS:
         known = ", ".join(["burst", "log_format", *OPERATOR_LIMITS])
         raise SettingsError(f"unknown <{tag}>, known are {known}")
     low, high = OPERATOR_LIMITS[tag]
-    value = number(tag, text, low, high)
+    value = parse_number(tag, text, low, high)
     if tag != "nmin":
         return value
     if value != int(value):
@@ -376,11 +376,13 @@
         raise SettingsError(f"burst.team: no team {team!r}, there are {', '.join(sorted(teams))}")
     if not jobclass:
         raise SettingsError("burst.class: missing")
-    numbers = {name: number(f"burst.{name}", found.get(name), 1e-3, 1e9) for name in BURST_NUMBERS}
+    numbers = {
+        name: parse_number(f"burst.{name}", found.get(name), 1e-3, 1e9) for name in BURST_NUMBERS
+    }
     return Burst(team=team, jobclass=jobclass, **numbers)
 
 
-def number(field: str, text: str | None, low: float, high: float) -> float:
+def parse_number(field: str, text: str | None, low: float, high: float) -> float:
     try:
         value = float(text or "")
     except ValueError:
@@ -390,16 +392,18 @@
     return value
 
 
-def load(path: Path, operator_path: Path | None = None) -> Settings:
+def load_settings(path: Path, operator_path: Path | None = None) -> Settings:
     """Read the files; every fault becomes a SettingsError that names its file."""
-    settings = named(path, parse)
+    settings = read_settings_file(path, parse_settings)
     if operator_path is not None:
         teams = {team.name for team in settings.cluster.teams}
-        settings.operator = named(operator_path, lambda text: parse_operator(text, teams))
+        settings.operator = read_settings_file(
+            operator_path, lambda text: parse_operator_settings(text, teams)
+        )
     return settings
 
 
-def named(path: Path, read: Callable[[bytes], T]) -> T:
+def read_settings_file(path: Path, read: Callable[[bytes], T]) -> T:
     """What a file says; its name stands before whatever is wrong with it."""
     try:
         return read(path.read_bytes())
--- a/src/chalkgrade/sharing/bopf.py
+++ b/src/chalkgrade/sharing/bopf.py
@@ -12,7 +12,7 @@
 
 from chalkgrade import constants
 from chalkgrade.settings import Team
-from chalkgrade.vectors import EPS, Vector, dominant, fits, minus, plus
+from chalkgrade.vectors import EPS, Vector, dominant_share, fits, minus, plus
 
 
 class QueueKind(Enum):
@@ -116,7 +116,7 @@
     """
     given: dict[str, Vector] = {name: tuple(0.0 for _ in room) for name in demands}
     steps = {
-        name: max(1, int(constants.DRF_STEP / max(dominant(task, total), EPS)))
+        name: max(1, int(constants.DRF_STEP / max(dominant_share(task, total), EPS)))
         for name, (task, _, _) in demands.items()
     }
     shares = dict.fromkeys(demands, 0.0)
@@ -137,7 +137,7 @@
             continue
         given[name] = plus(given[name], increment)
         room = minus(room, increment)
-        shares[name] = dominant(given[name], total) / weight
+        shares[name] = dominant_share(given[name], total) / weight
     return given
 
 
@@ -158,9 +158,9 @@
     for name, count in queues.items():
         team = teams.get(name)
         guaranteed_share = (
-            dominant((team.cpus, team.gpus, 0.0), capacity) if team is not None else 0.0
+            dominant_share((team.cpus, team.gpus, 0.0), capacity) if team is not None else 0.0
         )
-        weights[name] = (guaranteed_share + constants.FAIR_LEAST / len(queues)) / count
+        weights[name] = (guaranteed_share + constants.EVEN_SHARE_RATIO / len(queues)) / count
     return drf({d.queue: (d.task, d.wanted, weights[d.team]) for d in demands}, capacity, capacity)
 
 
--- a/src/chalkgrade/sharing/constraints.py
+++ b/src/chalkgrade/sharing/constraints.py
@@ -121,7 +121,9 @@
             return
         if spec.owner not in self._available_soon:
             unused = minus(self.limit(spec.owner), self.usage[spec.owner])
-            unused = plus(unused, stops.resources_ending(spec.owner, constants.KEPT_S))
+            unused = plus(
+                unused, stops.resources_ending(spec.owner, constants.UNUSED_MAXIMUM_HORIZON_S)
+            )
             # Replicas of a service end when they are cancelled, not after their run time.
             most = minus(self.limit(spec.owner), self._service_usage[spec.owner])
             self._available_soon[spec.owner] = tuple(map(min, unused, most))
@@ -131,7 +133,7 @@
             return
         wanted = tuple(a * min(len(job.waiting), stops.machine_count()) for a in spec.resources)
         excess = minus(plus(self.usage[spec.owner], wanted), self.limit(spec.owner))
-        slack = max(constants.PREEMPT_WAIT_S, self._queues.slack_s(job))
+        slack = max(constants.MIN_PREEMPTION_WAIT_S, self._queues.slack_s(job))
         excess = minus(excess, stops.resources_ending(spec.owner, slack))
         while (excess[0] > 0 or excess[1] > 0) and stops.preempt_own_team(job):
             excess = minus(excess, spec.resources)
--- a/src/chalkgrade/sharing/demands.py
+++ b/src/chalkgrade/sharing/demands.py
@@ -7,7 +7,7 @@
 from chalkgrade.sharing.bopf import QueueDemand, QueueKind, admit
 from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.vectors import ZERO, Vector, dominant, plus
+from chalkgrade.vectors import ZERO, Vector, dominant_share, plus
 
 
 class DemandCalculator:
@@ -66,7 +66,7 @@
                 wanted = plus(wanted, tuple(a * count for a in job.spec.resources))
                 task = tuple(max(a, b) for a, b in zip(task, job.spec.resources, strict=True))
                 work = (count + len(job.live)) * queues.expected_run_s(job)
-                remaining_work += work * dominant(job.spec.resources, self.snapshot.capacity)
+                remaining_work += work * dominant_share(job.spec.resources, self.snapshot.capacity)
             declaration = declarations.get(queue)
             rate = declaration.rate if declaration else ZERO
             # Overlapping bursts add up: the rate is at least what the queue holds plus what its
@@ -111,7 +111,7 @@
         slack_s = queues.slack_s(job)
         wait_s = min_wait_s if slack_s == float("inf") else max(slack_s, min_wait_s)
         cpu_runs = self.snapshot.image_cpus[job.spec.bundle] * wait_s / run_s
-        if cpu_runs < constants.STAY_TURNS * len(job.waiting) * job.spec.vcpus:
+        if cpu_runs < constants.IMAGE_LOCALITY_CPU_RATIO * len(job.waiting) * job.spec.vcpus:
             return False
         if job.image_affinity_until is None:
             job.image_affinity_until = self.snapshot.now + wait_s / 2
@@ -125,4 +125,6 @@
         that were started in the meantime would keep it waiting.
         """
         early = job.spec.urgency_rank > self.lowest_urgency
-        return self.queues.required_concurrency(job, constants.EARLY_PART if early else 1.0)
+        return self.queues.required_concurrency(
+            job, constants.EARLY_START_SLACK_RATIO if early else 1.0
+        )
--- a/src/chalkgrade/sharing/largest_jobs.py
+++ b/src/chalkgrade/sharing/largest_jobs.py
@@ -37,13 +37,13 @@
             jobs_by_class[job.spec.jobclass].append(job)
     out: dict[str, list[Job]] = defaultdict(list)
     for group in jobs_by_class.values():
-        count = math.ceil(constants.LARGEST_PART * len(group))
+        count = math.ceil(constants.LARGEST_JOBS_RATIO * len(group))
         min_cpus = heapq.nlargest(count, map(requested_cpus, group))[-1]
         for job in group:
             if requested_cpus(job) < min_cpus or wall - job.eligible_at <= constants.LARGEST_WAIT_S:
                 continue
             can_meet_bound = 0 <= slack(job) < math.inf
-            if not can_meet_bound or wall - job.eligible_at > constants.LARGEST_LATEST_S:
+            if not can_meet_bound or wall - job.eligible_at > constants.LARGEST_BOUND_WAIT_S:
                 out[job.round_queue].append(job)
     for group in out.values():
         group.sort(key=lambda job: (job.eligible_at, job.name))
--- a/src/chalkgrade/sharing/preemption.py
+++ b/src/chalkgrade/sharing/preemption.py
@@ -14,7 +14,7 @@
 
 from chalkgrade import constants
 from chalkgrade.extensions.constraints import ConstraintSet
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.placement import PreemptionOffers, Slot, tasks_fitting_after
 from chalkgrade.record.jobs import Attempt, Job
 from chalkgrade.settings import Team
@@ -120,7 +120,9 @@
 
     def max_preemption_loss(self, job: Job) -> float:
         """CPU-seconds of work that may be lost for one of the job's tasks."""
-        return constants.PREEMPT_RATIO * job.spec.vcpus * self.queues.expected_run_s(job)
+        return (
+            constants.MAX_PREEMPTION_LOSS_RATIO * job.spec.vcpus * self.queues.expected_run_s(job)
+        )
 
     def stop(self, attempts: Iterable[Attempt], job: Job) -> None:
         """Have running attempts stopped for a job."""
@@ -132,7 +134,7 @@
                 attempt.label,
                 attempt.machine,
                 job.name,
-                extra=about(
+                extra=decision_fields(
                     self.snapshot.fleet.token, attempt.job.name, attempt.machine, attempt.label
                 ),
             )
@@ -146,9 +148,11 @@
         waits forever. If a reservation would come too late, less urgent work is preempted where
         that loses least.
         """
-        waits = self.reserve_soonest(job, job.startable_count, constants.RESERVE_PART)
+        waits = self.reserve_soonest(
+            job, job.startable_count, constants.MAX_RESERVED_MACHINES_RATIO
+        )
         zones = self.constraints.allowed_zones(job, self.snapshot.zones)
-        late = max(constants.PREEMPT_WAIT_S, self.queues.slack_s(job))
+        late = max(constants.MIN_PREEMPTION_WAIT_S, self.queues.slack_s(job))
         work = self.max_preemption_loss(job)
         for wait in waits:
             if wait > late and not self._preempt_on_one_machine(job, zones, False, work):
@@ -166,16 +170,16 @@
 
         def order() -> Iterable[tuple[float, str, Slot]]:
             soonest = self.snapshot.suitable_slots(job.spec)
-            late = soonest[0][0] + constants.DRAIN_STAY_S if soonest else 0.0
+            late = soonest[0][0] + constants.DRAIN_RESELECTION_S if soonest else 0.0
 
             def is_recent_choice(entry: tuple[float, str, Slot]) -> bool:
                 queue, at = self.snapshot.fleet.machines[entry[1]].kept_for_queue
-                recent = queue == job.round_queue and now - at < constants.DRAIN_STAY_S
+                recent = queue == job.round_queue and now - at < constants.DRAIN_RESELECTION_S
                 return recent and entry[0] <= late
 
             return sorted(soonest, key=lambda entry: not is_recent_choice(entry))
 
-        for slot in self._reserve_slots(job, count, constants.STARVE_KEEP, order):
+        for slot in self._reserve_slots(job, count, constants.STARVATION_RESERVE_RATIO, order):
             self.snapshot.fleet.machines[slot.name].kept_for_queue = (job.round_queue, now)
 
     def reserve_soonest(self, job: Job, count: int, part: float) -> list[float]:
@@ -239,7 +243,7 @@
     def _preempt_for_late_jobs(
         self, jobs: list[Job], needed: Callable[[Job], int], victim_filter: VictimFilter
     ) -> None:
-        """Preempt for jobs that lack tasks for their next bound, on `RETURN_PART` of the machines.
+        """Preempt for jobs that lack tasks for their next bound, on `RETURN_RATIO` of the machines.
 
         `needed` returns how many of a job's tasks must run now.
         """
@@ -247,7 +251,7 @@
         for job in jobs:
             if (
                 self.preempt
-                and self.queues.clock.wall() - job.eligible_at > constants.PREEMPT_WAIT_S
+                and self.queues.clock.wall() - job.eligible_at > constants.MIN_PREEMPTION_WAIT_S
             ):
                 count = self.constraints.max_demand(
                     job, min(job.startable_count, needed(job) - len(job.live))
@@ -260,7 +264,7 @@
         occupants = (occupant for slot in slots for occupant in slot.occupants)
         # CPUs of tasks that earlier rounds have told to stop will become free.
         cpus_being_freed = sum(occupant.resources[0] for occupant in occupants if occupant.stopping)
-        machines_left = max(1, int(constants.RETURN_PART * len(slots)))
+        machines_left = max(1, int(constants.RETURN_RATIO * len(slots)))
         self.victim_filter = victim_filter
         for job, count in late_jobs:
             vcpus = max(job.spec.vcpus, 1e-3)
--- a/src/chalkgrade/sharing/queues.py
+++ b/src/chalkgrade/sharing/queues.py
@@ -79,7 +79,7 @@
         self._max_value_bytes = max_value_bytes
         self._part_of_queue: dict[str, int] = {}  # queue -> number of the value with its record
         self._part_bytes: list[int] = []  # estimated bytes in each of these values
-        count = min(constants.SHARES_PARTS, math.ceil(16 * 1024 / max_value_bytes))
+        count = min(constants.MAX_QUEUE_RECORD_VALUES, math.ceil(16 * 1024 / max_value_bytes))
         self.persisted_values = [
             PersistedValue(
                 f"{SHARES_KEY}/{number}" if number else SHARES_KEY,
@@ -144,7 +144,7 @@
         record, spec = self.queue_record(job), job.spec
         work = spec.tasks * max(spec.expectedS, 1.0) * record.correction
         job_work = tuple(amount * work for amount in spec.resources)
-        alpha = constants.ESTIMATE_ALPHA
+        alpha = constants.RUN_TIME_CORRECTION_WEIGHT
         due = spec.dueS or min((a.within_s for a in self._objectives(job, "finished")), default=0.0)
         if record.last == 0.0:
             record.began, record.period = job.eligible_at, max(due, constants.BURST_GAP_S)
@@ -166,9 +166,12 @@
             return
         record = self.queue_record(job)
         ratio = seconds / job.spec.expectedS
-        ratio = min(constants.CORRECTION_MAX, max(constants.CORRECTION_MIN, ratio))
+        ratio = min(
+            constants.MAX_RUN_TIME_CORRECTION_RATIO,
+            max(constants.MIN_RUN_TIME_CORRECTION_RATIO, ratio),
+        )
         # Tasks of one job have similar run times, so that together they count as one observation.
-        alpha = constants.ESTIMATE_ALPHA / job.spec.tasks
+        alpha = constants.RUN_TIME_CORRECTION_WEIGHT / job.spec.tasks
         record.correction += alpha * (ratio - record.correction)
 
     @property
@@ -201,14 +204,14 @@
     def remaining_run_s(self, attempt: Attempt, now: float) -> float:
         """How many seconds an attempt will still run, including its image fetch.
 
-        An overdue attempt is expected to run for `OVERDUE_PART` of the time it has run so far.
+        An overdue attempt is expected to run for `OVERDUE_RATIO` of the time it has run so far.
         """
         run_s = self.expected_run_s(attempt.job)
         if not attempt.running_since:
             elapsed_s = now - attempt.placed_at if attempt.placed_at else 0.0
             return run_s + max(0.0, self.image_fetch_s(attempt.job) - elapsed_s)
         run_so_far_s = now - attempt.running_since
-        return max(run_s - run_so_far_s, constants.OVERDUE_PART * run_so_far_s)
+        return max(run_s - run_so_far_s, constants.OVERDUE_RATIO * run_so_far_s)
 
     def _objectives(self, job: Job, kind: str) -> list[Objective]:
         """Return the objectives of one kind for the job's class."""
@@ -277,9 +280,9 @@
         Its tasks' run times differ, and the job ends with the last of them.
         """
         return (
-            constants.STAGE_S
+            constants.STAGE_START_DELAY_S
             + self.start_delay_s(job)
-            + constants.LAST_TASK * self.expected_run_s(job)
+            + constants.LAST_TASK_RUN_TIME_RATIO * self.expected_run_s(job)
         )
 
     def remaining_makespan_s(self, job: Job) -> float:
@@ -288,7 +291,7 @@
         remaining_s = [self.remaining_run_s(attempt, now) for attempt in job.live.values()]
         if len(job.waiting):
             remaining_s.append(self.start_delay_s(job) + self.expected_run_s(job))
-        return constants.STAGE_S + max(remaining_s, default=0.0)
+        return constants.STAGE_START_DELAY_S + max(remaining_s, default=0.0)
 
     def completion_bounds_s(self, job: Job) -> list[float]:
         """Seconds, counted from when the job could run, within which it should be over.
@@ -316,7 +319,7 @@
 
     def prefers_local_image(self, job: Job) -> bool:
         """Whether a job prefers machines with its image, even at the cost of the job order."""
-        return self.image_fetch_s(job) > constants.NEAR_RATIO * self.expected_run_s(job)
+        return self.image_fetch_s(job) > constants.IMAGE_LOCALITY_RATIO * self.expected_run_s(job)
 
     def slack_s(self, job: Job) -> float:
         """Seconds that a job's last task may wait and still meet the next bound within reach.
--- a/src/chalkgrade/sharing/rounds.py
+++ b/src/chalkgrade/sharing/rounds.py
@@ -11,7 +11,7 @@
 
 from chalkgrade import constants
 from chalkgrade.extensions.constraints import ConstraintSet, StartConstraint
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet
 from chalkgrade.machines.placement import Slot, SlotPicker, choose_gang_slots, occupy_slot
@@ -37,7 +37,7 @@
 from chalkgrade.sharing.largest_jobs import overdue_largest_jobs
 from chalkgrade.sharing.preemption import Preemptor
 from chalkgrade.sharing.queues import Queues
-from chalkgrade.vectors import ZERO, Vector, dominant, fits, minus, plus
+from chalkgrade.vectors import ZERO, Vector, dominant_share, fits, minus, plus
 
 log = logging.getLogger("chalkgrade.sharing")
 
@@ -157,7 +157,7 @@
             budget = minus(grant, self.queue_usage[queue])
             placed += self._place_preferring_local(ready[queue], budget, reserve=True)
         order = spare_capacity_order(
-            demands.values(), lambda d: dominant(self.queue_usage[d.queue], capacity)
+            demands.values(), lambda d: dominant_share(self.queue_usage[d.queue], capacity)
         )
         ranks = itertools.groupby(
             order, key=lambda q: (demands[q].is_best_effort, demands[q].urgency)
@@ -242,18 +242,18 @@
             queue: min((j.eligible_at for j in jobs if j.startable_count), default=wall)
             for queue, jobs in ready.items()
         }
-        starved = [queue for queue, at in oldest.items() if wall - at > constants.STARVE_S]
+        starved = [queue for queue, at in oldest.items() if wall - at > constants.STARVATION_WAIT_S]
         if not starved:
             return 0
         placed, total_granted = 0, ZERO
-        most = tuple(constants.STARVE_MOST * a for a in capacity)
+        most = tuple(constants.STARVATION_CAPACITY_RATIO * a for a in capacity)
         fair = fair_shares(demands.values(), self.teams, capacity)
         overdue_by_queue = overdue_largest_jobs(self.jobs.values(), wall, self.queues.slack_s)
         served = []
         for queue in sorted(starved, key=oldest.__getitem__):
             half = round_up_to_tasks(tuple(a / 2 for a in fair[queue]), demands[queue].task)
-            held = dominant(self.queue_usage[queue], capacity)
-            if held > constants.STARVE_BELOW * dominant(half, capacity):
+            held = dominant_share(self.queue_usage[queue], capacity)
+            if held > constants.STARVATION_ALLOCATION_RATIO * dominant_share(half, capacity):
                 served.append(queue)
                 continue
             total_granted = plus(total_granted, half)
@@ -276,7 +276,7 @@
 
         `room` is the queue's share, or what it holds. Together the largest jobs hold at most
         `LARGEST_SHARE` of it, but at least one task, or one gang. The part grows to all tasks of
-        the first job as far as `LARGEST_MOST` of the share holds them: in two waves the job would
+        the first job as far as `LARGEST_LIMIT` of the share holds them: in two waves the job would
         take twice as long, and most of the part would be unused during the second.
         """
         waiting = [job for job in jobs if self.constraints.is_ready(job)]
@@ -285,7 +285,7 @@
         first, spec = waiting[0], waiting[0].spec
         whole = tuple(a * (spec.tasks if spec.shape == "gang" else 1) for a in spec.resources)
         at_once = tuple(a * (first.startable_count + len(first.live)) for a in spec.resources)
-        most = tuple(constants.LARGEST_MOST * a for a in room)
+        most = tuple(constants.LARGEST_LIMIT * a for a in room)
         share = tuple(constants.LARGEST_SHARE * a for a in room)
         part = tuple(map(max, share, map(min, at_once, most), whole))
         held = ZERO
@@ -376,7 +376,7 @@
         def opens(slot: Slot) -> bool:
             return self.constraints.allows_slot(job, slot)
 
-        for _ in range(min(len(job.waiting), constants.ROUND_TASKS)):
+        for _ in range(min(len(job.waiting), constants.MAX_TASKS_PER_JOB_AND_ROUND)):
             index = job.waiting.lowest(skip)
             if index is None:
                 break  # all placed, or machines report them already: wait until that is resolved
@@ -413,10 +413,12 @@
         If no other machine fits, none is rented while one of these has room, so that an excluded
         job would wait until everything else that runs on that machine has ended.
         """
-        if not 0 < len(job.failures_by_machine) <= constants.FAULTY_MACHINES:
+        if not 0 < len(job.failures_by_machine) <= constants.MAX_FAILED_MACHINES_PER_JOB:
             return ()
         known = filter(None, map(self.fleet.machines.get, job.failures_by_machine))
-        return [m.name for m in known if self.now < m.failed_at + constants.SHUN_S]
+        return [
+            m.name for m in known if self.now < m.failed_at + constants.FAILED_MACHINE_AVOIDANCE_S
+        ]
 
     def _place_gang(self, job: Job, budget: Vector | None, reserve: bool) -> int:
         """Place all tasks of a gang or none (step 7: its grant covers all of it)."""
@@ -460,7 +462,7 @@
         attempt.placed_at = self.now
         attempt.is_starvation_guarded = self.placing_starved
         if log.isEnabledFor(logging.DEBUG):
-            what = about(self.fleet.token, job.name, slot.name, attempt.label)
+            what = decision_fields(self.fleet.token, job.name, slot.name, attempt.label)
             log.debug("attempt placed: %s on %s", attempt.label, slot.name, extra=what)
         self.fleet.attach_attempt(attempt)
         self.fleet.machines[slot.name].busy_at = self.now
--- a/src/chalkgrade/sharing/wait_reasons.py
+++ b/src/chalkgrade/sharing/wait_reasons.py
@@ -108,7 +108,7 @@
     if job.image_affinity_until is not None and now < job.image_affinity_until:
         return REASON_IMAGE_LOCALITY
     # A few machines that still boot, or never start, are not why many tasks wait.
-    if booting > constants.BOOTING_PART * usable:
+    if booting > constants.MIN_BOOTING_RATIO * usable:
         return REASON_BOOTING
     return REASON_NO_CAPACITY if refused else REASON_NO_ROOM
 
--- a/src/chalkgrade/state/client.py
+++ b/src/chalkgrade/state/client.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
+from chalkgrade.outside import Clock, Http, NoAnswer, TokenBucket, decode_response, encode
 from chalkgrade.settings import StateLimits
 from chalkgrade.state.limits import EffectiveLimits
 
@@ -107,19 +107,19 @@
         self.limits = EffectiveLimits(limits)
         self._other_nodes = max(0, nodes - 1)
         # Token buckets of all requests, and of written or removed keys.
-        self.requests = Bucket(clock, 1.0, 1.0)
-        self.writes = Bucket(clock, 1.0, 1.0)
+        self.requests = TokenBucket(clock, 1.0, 1.0)
+        self.writes = TokenBucket(clock, 1.0, 1.0)
         # The share of `requests` that reads for users may take: a burst of them must leave
         # enough for lease renewals, commits and watches.
-        self.queries = Bucket(clock, 1.0, 1.0)
+        self.queries = TokenBucket(clock, 1.0, 1.0)
         self.set_leading(False)
         for bucket in (self.requests, self.writes, self.queries):
-            bucket.fill()
+            bucket.refill()
         self.answered_at = -1e9  # when the service last answered
         self.response_counts: dict[str, int] = {}  # answers by status, and other events
         # Durations of recent commits, and of recent requests other than watches.
-        self._commit_times_s: deque[float] = deque(maxlen=constants.LATENCIES)
-        self._response_times_s: deque[float] = deque(maxlen=constants.LATENCIES)
+        self._commit_times_s: deque[float] = deque(maxlen=constants.LATENCY_SAMPLE_COUNT)
+        self._response_times_s: deque[float] = deque(maxlen=constants.LATENCY_SAMPLE_COUNT)
         self.highest_revision = 0  # highest revision seen, and when it was seen
         self.highest_revision_at = clock.now()
 
@@ -131,22 +131,26 @@
         it does not spend again what the last leader has spent already.
         """
         for bucket, limit, part in (
-            (self.requests, self.limits.rps, constants.LEADER_REQUEST_SHARE),
-            (self.writes, self.limits.write_rps, constants.LEADER_WRITE_SHARE),
+            (self.requests, self.limits.rps, constants.LEADER_REQUEST_RATE_RATIO),
+            (self.writes, self.limits.write_rps, constants.LEADER_WRITE_RATE_RATIO),
         ):
             share = part if leading else (1 - part) / max(1, self._other_nodes)
             share = share if self._other_nodes else 1.0
-            bucket.resize(limit * share)
-        self.queries.resize(self.requests.rate * constants.ASKING_SHARE)
+            bucket.set_rate(limit * share)
+        self.queries.set_rate(self.requests.rate_per_s * constants.QUERY_REQUEST_RATE_RATIO)
 
     def has_recent_answer(self) -> bool:
         """Whether the service answered recently."""
-        return self._clock.now() - self.answered_at < constants.STATE_STALE_S
+        return self._clock.now() - self.answered_at < constants.MAX_STATE_ANSWER_AGE_S
 
     async def _call(
-        self, method: str, path: str, body: Any = None, timeout: float = constants.STATE_TIMEOUT_S
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        timeout: float = constants.STATE_REQUEST_TIMEOUT_S,
     ) -> tuple[int, bytes]:
-        await self.requests.wait()
+        await self.requests.acquire()
         payload = None if body is None else encode(body)
         began = self._clock.now()
         try:
@@ -174,8 +178,8 @@
         than 6,000 changes, and would not redirect workers to the leader.
         """
         if not self.highest_revision:
-            return constants.TOKEN_MAX
-        passed = self._clock.now() - self.highest_revision_at + constants.REVISION_SLACK_S
+            return constants.MAX_FENCING_TOKEN
+        passed = self._clock.now() - self.highest_revision_at + constants.REVISION_LOOKAHEAD_S
         return self.highest_revision + int(passed * 2 * max(self.limits.current.write_rps, 50.0))
 
     def _observe_revision(self, revision: int) -> int:
@@ -198,7 +202,7 @@
         try:
             done, _ = await asyncio.wait(copies, timeout=self.hedge_delay_s())
             # A bound relative to the rate would forbid this to a new leader: its budget is low.
-            if not done and self.requests.level() >= constants.HEDGE_READS:
+            if not done and self.requests.available_tokens() >= constants.MIN_HEDGE_READ_TOKENS:
                 self.response_counts["hedged"] = self.response_counts.get("hedged", 0) + 1
                 copies.append(asyncio.create_task(self._call("GET", path)))
             pending = set(copies)
@@ -220,12 +224,12 @@
         status, data = await self._get_hedged(f"/kv/{key}")
         if status == 404:
             self._observe_revision(
-                decode(data, RevisionReply).ledgerRev
+                decode_response(data, RevisionReply).ledgerRev
             )  # another 404 does not prove absence
             return None
         if status != 200:
             raise NoAnswer(f"status {status}")
-        row = decode(data, Row)
+        row = decode_response(data, Row)
         self._observe_revision(row.stamp)
         return row
 
@@ -234,20 +238,20 @@
         status, data = await self._call("GET", f"/kv?under={under}&page=1")
         if status != 200:
             raise NoAnswer(f"status {status}")
-        return decode(data, KeyPage).ledgerRev
+        return decode_response(data, KeyPage).ledgerRev
 
     async def scan(self, under: str) -> tuple[list[Row], int]:
         """All keys with a prefix, and a revision from before the first one was read."""
         rows: list[Row] = []
         after, revision = "", 0
         while True:
-            path = f"/kv?under={under}&page={constants.LIST_PAGE}"
+            path = f"/kv?under={under}&page={constants.LIST_PAGE_ROWS}"
             if after:
                 path += f"&after={after}"
             status, data = await self._get_hedged(path)
             if status != 200:
                 raise NoAnswer(f"status {status}")
-            listing = decode(data, KeyPage)
+            listing = decode_response(data, KeyPage)
             revision = revision or listing.ledgerRev
             rows += listing.rows
             if not listing.more or not listing.rows:
@@ -258,7 +262,7 @@
         self,
         conditions: dict[str, int],
         apply: list[dict[str, Any]],
-        timeout: float = constants.STATE_TIMEOUT_S,
+        timeout: float = constants.STATE_REQUEST_TIMEOUT_S,
     ) -> int:
         """Execute all of `apply` if all conditions hold, else nothing; returns the revision.
 
@@ -266,7 +270,7 @@
         Conflict, Rejected, NotExecuted, or NoAnswer if the commit may have been executed.
         """
         if apply:
-            await self.writes.wait(len(apply))
+            await self.writes.acquire(len(apply))
         body: dict[str, Any] = {"if": [{"k": k, "stamp": s} for k, s in conditions.items()]}
         if apply:
             body["apply"] = apply
@@ -274,9 +278,9 @@
         status, data = await self._call("POST", "/commit", body, timeout)
         if status == 200:
             self._commit_times_s.append(self._clock.now() - began)
-            return self._observe_revision(decode(data, RevisionReply).ledgerRev)
+            return self._observe_revision(decode_response(data, RevisionReply).ledgerRev)
         if status == 409:
-            raise Conflict(decode(data, ConflictReply).failed)
+            raise Conflict(decode_response(data, ConflictReply).failed)
         raise Rejected(data[:200].decode(errors="replace"))
 
     async def commit_hedged(self, conditions: dict[str, int], apply: list[dict[str, Any]]) -> int:
@@ -324,7 +328,7 @@
         """
         sent = asyncio.create_task(commit)
         observing: asyncio.Task[int] | None = None
-        pause = constants.LOOK_TIMES * self.hedge_delay_s()
+        pause = constants.COMMIT_OBSERVATION_DELAY_RATIO * self.hedge_delay_s()
         try:
             while True:
                 waiting = {sent} if observing is None else {sent, observing}
@@ -339,7 +343,7 @@
                         raise failure
                     return sent.result()
                 if observing is None:
-                    if self.requests.level() >= constants.HEDGE_READS:
+                    if self.requests.available_tokens() >= constants.MIN_HEDGE_READ_TOKENS:
                         observing = asyncio.create_task(self._observed_revision(observe))
                 elif observing.done():
                     if _failure(observing) is None and observing.result():
@@ -364,12 +368,15 @@
             if self._commit_times_s
             else 0.0
         )
-        return max(constants.HEDGE_LEAST_S, constants.HEDGE_TIMES * usual)
+        return max(constants.MIN_HEDGE_DELAY_S, constants.HEDGE_DELAY_RATIO * usual)
 
     def _may_hedge(self, changes: int) -> bool:
         """Whether the budgets allow a second copy without delaying other changes."""
-        spare = constants.HEDGE_SPARE * self.writes.rate
-        return self.writes.level() >= changes + spare and self.requests.level() >= 2
+        spare = constants.HEDGE_SPARE_WRITES_RATIO * self.writes.rate_per_s
+        return (
+            self.writes.available_tokens() >= changes + spare
+            and self.requests.available_tokens() >= 2
+        )
 
     async def existing_keys(self, keys: list[str]) -> set[str]:
         """Which of the given keys exist; if none does, all were checked at one revision.
@@ -399,7 +406,7 @@
         status, data = await self._call("POST", "/leases", {"ttlMs": int(ttl_s * 1000)})
         if status != 200:
             raise Rejected(f"lease: status {status}")
-        return decode(data, LeaseGrant).permit
+        return decode_response(data, LeaseGrant).permit
 
     async def renew_lease(self, permit: int, timeout: float) -> bool:
         """Renew a lease; returns False if it no longer exists."""
@@ -418,12 +425,14 @@
         Raises Compacted if the service no longer keeps the changes after that revision.
         """
         path = f"/changes?under={under}&after={after}&blockMs={int(block_s * 1000)}"
-        status, data = await self._call("GET", path, timeout=block_s + constants.WATCH_SLACK_S)
+        status, data = await self._call(
+            "GET", path, timeout=block_s + constants.WATCH_TIMEOUT_MARGIN_S
+        )
         if status == 410:
             raise Compacted
         if status != 200:
             raise NoAnswer(f"status {status}")
-        found = decode(data, KeyChanges)
+        found = decode_response(data, KeyChanges)
         self._observe_revision(found.ledgerRev)
         return found
 
--- a/src/chalkgrade/state/leadership.py
+++ b/src/chalkgrade/state/leadership.py
@@ -36,7 +36,7 @@
 
     member: str
     nonce: str
-    lease_s: float = constants.LEASE_TTL_S
+    lease_s: float = constants.MAX_LEADER_LEASE_S
     home: str = ""
 
 
@@ -80,7 +80,7 @@
         # candidates campaign first, and the lease duration, s.
         self.is_eligible: Callable[[], bool] = lambda: True
         self.campaign_rank: Callable[[], int] = lambda: 0
-        self.lease_duration_s: Callable[[], float] = lambda: constants.LEASE_TTL_S
+        self.lease_duration_s: Callable[[], float] = lambda: constants.MAX_LEADER_LEASE_S
         self.lease_lost_while_healthy_at = (
             -1e9
         )  # a lease ended though this process ran on time and was answered
@@ -88,7 +88,7 @@
         self._pending_offer: _Offer | None = None
         self._handing_over = False  # a commit that moves the key to a successor may be pending
         self._permit = 0
-        self._ttl_s = constants.LEASE_TTL_S
+        self._ttl_s = constants.MAX_LEADER_LEASE_S
         self._renewal_sent_at = self._renewal_failed_at = -1e9
         self._stepped_down = asyncio.Event()
 
@@ -145,7 +145,7 @@
                     await self._start_leading(*start_args)
             except (*REQUEST_ERRORS, Conflict, Compacted, msgspec.DecodeError) as error:
                 log.debug("leadership request failed: %s", error)
-                pause = constants.CAMPAIGN_PAUSE_S * (0.5 + self._rng.random())
+                pause = constants.CAMPAIGN_RETRY_INTERVAL_S * (0.5 + self._rng.random())
                 await asyncio.sleep(pause)
 
     def _observe_row(self, row: Row) -> tuple[int, int, float] | None:
@@ -222,7 +222,9 @@
         """Commit the move of the key; returns whether it certainly was executed."""
         write = {"write": LEADER_KEY, "v": value, "permit": permit}
         try:
-            await self._ledger.commit({LEADER_KEY: token}, [write], constants.HANDOVER_S)
+            await self._ledger.commit(
+                {LEADER_KEY: token}, [write], constants.HANDOVER_COMMIT_TIMEOUT_S
+            )
         except (*REQUEST_ERRORS, Conflict) as error:
             log.warning("handover failed: %s: %s", value.member, error)
             return False
@@ -239,7 +241,9 @@
 
         Returns the arguments of `_start_leading` if the key was handed to this node.
         """
-        changes = await self._ledger.watch_changes(LEADER_KEY, stamp, constants.LEADER_WATCH_S)
+        changes = await self._ledger.watch_changes(
+            LEADER_KEY, stamp, constants.LEADER_WATCH_BLOCK_S
+        )
         start_args = None
         for change in changes.log:
             start_args = None
@@ -253,12 +257,12 @@
     async def _wait_turn(self) -> bool:
         """Let preferred candidates campaign first; returns whether the key is still free then."""
         if not self.is_eligible():
-            await asyncio.sleep(constants.CAMPAIGN_PAUSE_S)
+            await asyncio.sleep(constants.CAMPAIGN_RETRY_INTERVAL_S)
             return False
-        rank = min(self.campaign_rank(), constants.CAMPAIGN_RANK_MAX)
+        rank = min(self.campaign_rank(), constants.MAX_CAMPAIGN_RANK)
         if not rank:
             return True
-        await asyncio.sleep(rank * constants.CAMPAIGN_STEP_S)
+        await asyncio.sleep(rank * constants.CAMPAIGN_STAGGER_S)
         return await self._ledger.get(LEADER_KEY) is None
 
     async def _campaign(self) -> None:
@@ -311,15 +315,15 @@
                 if acting is suspended_logged:
                     suspended_logged = not acting
                     self._log_validity(acting)
-                usual = constants.TOUCHES * self._ttl_s
-                pause = usual if acting else constants.STATE_PAUSE_S
+                usual = constants.LEASE_RENEWAL_INTERVAL_RATIO * self._ttl_s
+                pause = usual if acting else constants.STATE_RETRY_INTERVAL_S
                 try:
                     async with asyncio.timeout(pause):
                         await self._stepped_down.wait()
                     return
                 except TimeoutError:
                     pass
-                if len(renewals) < constants.TOUCHES_OPEN:
+                if len(renewals) < constants.MAX_CONCURRENT_RENEWALS:
                     renewal = asyncio.create_task(self._renew())
                     renewals.add(renewal)
                     renewal.add_done_callback(renewals.discard)
@@ -348,7 +352,9 @@
         if sent_at - before > self._ttl_s:
             self._renewal_failed_at = sent_at  # this process was suspended
         try:
-            alive = await self._ledger.renew_lease(self._permit, constants.STATE_TIMEOUT_S / 2)
+            alive = await self._ledger.renew_lease(
+                self._permit, constants.STATE_REQUEST_TIMEOUT_S / 2
+            )
         except (NoAnswer, NotExecuted) as error:
             log.debug("lease renewal failed: %s", error)
             self._renewal_failed_at = self._clock.now()
--- a/src/chalkgrade/state/lease_expiry.py
+++ b/src/chalkgrade/state/lease_expiry.py
@@ -56,7 +56,7 @@
 
     def record_renewal(self, sent_at: float, ttl_s: float) -> None:
         """Record that a request sent at `sent_at` granted or renewed the lease for `ttl_s`."""
-        valid_s = ttl_s * (1 - constants.CLOCK_DRIFT) - constants.LEASE_MARGIN_S
+        valid_s = ttl_s * (1 - constants.CLOCK_DRIFT_RATIO) - constants.LEADER_LEASE_MARGIN_S
         self.lease_valid_until = max(self.lease_valid_until, sent_at + valid_s)
         self.cancellations_known_until = max(self.cancellations_known_until, self.lease_valid_until)
 
--- a/src/chalkgrade/state/limits.py
+++ b/src/chalkgrade/state/limits.py
@@ -15,7 +15,7 @@
 
     def __init__(self, current: StateLimits) -> None:
         self.current = current
-        self.minimum = current.least()
+        self.minimum = current.lowest_limits()
         self.have_shrunk = False  # a commit that only the current limits allow was rejected
 
     @property
@@ -64,4 +64,4 @@
 
 def usable_value_bytes(value_kb: float) -> int:
     """The usable part of a value limit: the rest allows for other encodings of the same JSON."""
-    return int(value_kb * 1024 - min(constants.VALUE_SPARE_B, value_kb * 1024 / 8))
+    return int(value_kb * 1024 - min(constants.COMMIT_HEADROOM_BYTES, value_kb * 1024 / 8))
--- a/src/chalkgrade/vectors.py
+++ b/src/chalkgrade/vectors.py
@@ -22,6 +22,6 @@
     return tuple(map(sub, one, other))
 
 
-def dominant(amount: Vector, capacity: Vector) -> float:
+def dominant_share(amount: Vector, capacity: Vector) -> float:
     """The dominant share of an amount."""
     return max((a / c for a, c in zip(amount, capacity, strict=True) if c > EPS), default=0.0)
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -37,7 +37,7 @@
 
     def check(self) -> None:
         # What a reader does: a batch beyond the size of new ones may hold jobs that are over.
-        room = self.world.settings.cluster.state.least().value_kb * 1024 * 7 / 8
+        room = self.world.settings.cluster.state.lowest_limits().value_kb * 1024 * 7 / 8
         seen: dict[str, int] = {}
         for key, (value, _, _) in self.keys.items():
             if key.startswith(BATCH_PREFIX):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -379,7 +379,7 @@
 
     with Patch.context() as patch:
         # The leader does not read back its writes, so the commit stays open as long as possible.
-        patch.setattr(constants, "LOOK_TIMES", 1e6)
+        patch.setattr(constants, "COMMIT_OBSERVATION_DELAY_RATIO", 1e6)
         tell(begun, seed=seed, loss=0.0, kind=LostResponses)
 
 
@@ -497,7 +497,9 @@
 ) -> None:
     """The random simulation has to detect each bug, else it would miss such a fault."""
     bug(monkeypatch)
-    monkeypatch.setattr(constants, "LOOK_TIMES", 1e6)  # open commits stay open for longer
+    monkeypatch.setattr(
+        constants, "COMMIT_OBSERVATION_DELAY_RATIO", 1e6
+    )  # open commits stay open for longer
     with pytest.raises(Broken, match=rule):
         for seed in range(10):
             _play(seed, _no_fault, 0.8)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -107,7 +107,7 @@
         _lengthen(world, monkeypatch)
         world.spawn(world.user(_long_job(1) | {"expectedS": 4.0}, None))
         world.spawn(_others_are_written(world))
-        within = constants.STALL_S + 3 * constants.STALL_LOOK_S
+        within = constants.WRITE_STALL_S + 3 * constants.WRITE_STALL_CHECK_INTERVAL_S
         await _wait_until(world, 20.0, lambda: world.first.writer.unwritable_sizes)
         (sample,) = (s for s in world.first.samples() if s.name == "unwritable_values")
         assert sample.values[()] == 1
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -220,7 +220,7 @@
     _starves(monkeypatch, "quote")
     # Alone, on machines that stay a while in a lull too: else what is rented for it comes and
     # goes before it counts, and others wait beside it.
-    monkeypatch.setattr(constants, "LULL_S", 1e9)
+    monkeypatch.setattr(constants, "SUBMISSION_LULL_S", 1e9)
     quote = [work for work in FLEET.classes if work.name == "quote"]
     _, broken = play_day(_small(calm_s=300.0, classes=quote), 1)
     assert broken.startswith("idle_room: ") and "'jobclass': 'quote'" in broken
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -239,9 +239,9 @@
     Without a limit 1,500 connections with incomplete bodies stayed open for ever, and each one
     that ended logged a traceback.
     """
-    monkeypatch.setattr(constants, "UNFINISHED_NEW_S", 0.1)
-    monkeypatch.setattr(constants, "GUARD_EVERY_S", 0.05)
-    monkeypatch.setattr(constants, "IDLE_HOLD_S", 0.05)
+    monkeypatch.setattr(constants, "NEW_CONNECTION_GRACE_S", 0.1)
+    monkeypatch.setattr(constants, "CONNECTION_CHECK_INTERVAL_S", 0.05)
+    monkeypatch.setattr(constants, "IDLE_RESPONSE_HOLD_S", 0.05)
     head = b"POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\nhalf"
 
     async def story() -> None:
@@ -268,7 +268,7 @@
             await _until(
                 lambda: (
                     leader.server.connection_guard.count(ConnectionState.UNFINISHED)
-                    <= constants.UNFINISHED_KEPT
+                    <= constants.MAX_OLD_UNFINISHED_CONNECTIONS
                 )
             )
             for _, writer in held:
@@ -276,7 +276,7 @@
             await _until(
                 lambda: leader.server.connection_guard.count(ConnectionState.UNFINISHED) == 0
             )
-            monkeypatch.setattr(constants, "TELL_EVERY_S", 0.0)
+            monkeypatch.setattr(constants, "STATUS_LOG_INTERVAL_S", 0.0)
             await _until(lambda: any("connections ended" in r.message for r in caplog.records))
 
     _run_bounded(story)
@@ -314,9 +314,9 @@
             if rng.random() < 0.01:
                 guard.sweep()
                 late = [e for e in guard._entries[ConnectionState.UNFINISHED].values()]
-                assert all(clock.at - entry.since <= constants.REQUEST_S for entry in late)
-                old = [e for e in late if clock.at - e.since > constants.UNFINISHED_NEW_S]
-                assert len(old) <= constants.UNFINISHED_KEPT
+                assert all(clock.at - entry.since <= constants.READ_TIMEOUT_S for entry in late)
+                old = [e for e in late if clock.at - e.since > constants.NEW_CONNECTION_GRACE_S]
+                assert len(old) <= constants.MAX_OLD_UNFINISHED_CONNECTIONS
             for gone in ended:
                 assert alive.pop(gone) in ("half", "idle user")
             ended.clear()
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -224,7 +224,7 @@
 
     tell(story, seed, loss=0.0, kind=kind)
     # Renewed until the margin before `cancel_s`, and not stopped much sooner either.
-    assert World.LEASE_S < took[0] < World.CANCEL_S - constants.LIMBO_MARGIN_S + 0.5
+    assert World.LEASE_S < took[0] < World.CANCEL_S - constants.CANCELLATION_GRACE_MARGIN_S + 0.5
 
 
 async def _cut_report_paths(world: World, path: str, old: str, new: str) -> None:
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -62,14 +62,16 @@
     for nodes in (1, 3, 5, 7):
         ledgers = [LedgerClient(None, Clock(), "x:1", limits, nodes) for _ in range(nodes)]  # type: ignore[arg-type]
         ledgers[0].set_leading(True)
-        assert sum(ledger.writes.rate for ledger in ledgers) <= 20.0 + 1e-9
-        assert sum(ledger.requests.rate for ledger in ledgers) <= 120.0 + 1e-9
-        at_hand = ledgers[-1].writes.level()
+        assert sum(ledger.writes.rate_per_s for ledger in ledgers) <= 20.0 + 1e-9
+        assert sum(ledger.requests.rate_per_s for ledger in ledgers) <= 120.0 + 1e-9
+        at_hand = ledgers[-1].writes.available_tokens()
         ledgers[0].set_leading(False)
         ledgers[-1].set_leading(True)
-        assert ledgers[-1].writes.level() <= at_hand
+        assert ledgers[-1].writes.available_tokens() <= at_hand
         if nodes > 1:
-            assert ledgers[-1].writes.rate == pytest.approx(20.0 * constants.LEADER_WRITE_SHARE)
+            assert ledgers[-1].writes.rate_per_s == pytest.approx(
+                20.0 * constants.LEADER_WRITE_RATE_RATIO
+            )
     loop.close()
 
 
--- a/tests/test_halves.py
+++ b/tests/test_halves.py
@@ -129,7 +129,7 @@
 
     The small tasks of other classes take each CPU that becomes free.
     """
-    monkeypatch.setattr(constants, "STARVE_S", 1e9)
+    monkeypatch.setattr(constants, "STARVATION_WAIT_S", 1e9)
     assert any("wide" in missing for missing in _play(_sixfold_without_a_maximum).unserved())
 
 
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -48,7 +48,7 @@
     All tasks of the job fail at once on several faulty machines. Its run time is 200 s.
     """
     if bug:
-        monkeypatch.setattr(constants, "PROVEN_RUN_S", 1e9)
+        monkeypatch.setattr(constants, "MIN_PROVEN_RUN_S", 1e9)
 
     async def story(world: World) -> None:
         world.spawn(world.user(_long_job(1, 12) | {"expectedS": 200.0}, None))
@@ -63,7 +63,7 @@
         job = node.term.jobs["run-000001"]
         assert job.is_faulty and len(job.failures_by_machine) > 2 and len(job.live) <= 1
         await _run_for(world, 200.0)
-        assert world.idle.most < constants.SHUN_S + 15.0
+        assert world.idle.most < constants.FAILED_MACHINE_AVOIDANCE_S + 15.0
         assert len(world.present()) > 8
 
     _check(story, bug, 1)
@@ -118,7 +118,7 @@
     Otherwise the team's small tasks take each CPU, and four are never free at once.
     """
     if bug:
-        monkeypatch.setattr(constants, "KEPT_S", -1.0)
+        monkeypatch.setattr(constants, "UNUSED_MAXIMUM_HORIZON_S", -1.0)
 
     async def story(world: World) -> None:
         red = {"owner": "red", "vcpus": 1.0}
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -62,7 +62,7 @@
     jobs = [_job("a-1", 9)]
     assert _names(jobs, slack=5.0) == {}
     assert _names(jobs, slack=-1.0) == {"red/sums": ["a-1"]}
-    assert _names(jobs, constants.LARGEST_LATEST_S + 1.0, slack=5.0) == {"red/sums": ["a-1"]}
+    assert _names(jobs, constants.LARGEST_BOUND_WAIT_S + 1.0, slack=5.0) == {"red/sums": ["a-1"]}
 
 
 def _reserved_machines(now: float, waits: dict[str, float], machines: dict[str, Any]) -> list[str]:
@@ -99,7 +99,7 @@
     machines = {name: SimpleNamespace(kept_for_queue=("", 0.0)) for name in ("m-1", "m-2")}
     assert _reserved_machines(100.0, {"m-1": 3.0, "m-2": 4.0}, machines) == ["m-1"]
     assert _reserved_machines(101.0, {"m-1": 6.0, "m-2": 3.0}, machines) == ["m-1"]
-    late = 4.0 + constants.DRAIN_STAY_S
+    late = 4.0 + constants.DRAIN_RESELECTION_S
     assert _reserved_machines(102.0, {"m-1": late, "m-2": 3.0}, machines) == ["m-2"]
-    later = 103.0 + constants.DRAIN_STAY_S
+    later = 103.0 + constants.DRAIN_RESELECTION_S
     assert _reserved_machines(later, {"m-1": 2.0, "m-2": 3.0}, machines) == ["m-1"]
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -232,7 +232,7 @@
     bench.begin()
     assert all(bench.start(job) for job in low)
     urgent = bench.job("one", 1, urgency="high", dueS=20.0)  # others run for 10 s
-    bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
+    bench.clock.at += constants.MIN_PREEMPTION_WAIT_S + 1.0
     bench.begin()
     assert bench.start(urgent) is None and bench.gate.is_ready(urgent)
     assert bench.gate.refusal_reason(urgent) == SEAT
@@ -280,7 +280,7 @@
     holder = bench.job("other", 1, urgency="high")
     bench.begin()
     assert bench.start(holder)
-    bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
+    bench.clock.at += constants.MIN_PREEMPTION_WAIT_S + 1.0
     bench.begin()
     bench.gate.preempt_for(both, Stops())  # type: ignore[arg-type]
     assert not _stopped(bench)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -280,8 +280,8 @@
     kind: str, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Checkpoints, removals and batch splits must be recognised as own commits too."""
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT", 1)
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
+    monkeypatch.setattr(constants, "MIN_LOG_SEGMENTS", 1)
+    monkeypatch.setattr(constants, "MIN_LOG_BYTES", 0)
     durations_s: list[float] = []
     _measure_commits(monkeypatch, durations_s)
     if bug:
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -413,7 +413,7 @@
 def test_a_job_returns_to_the_only_machine_that_it_failed_on(bug: bool, monkeypatch: Patch) -> None:
     """Another job keeps the machine busy, so it is not returned; it has room, so none is rented."""
     if bug:
-        monkeypatch.setattr(constants, "SHUN_S", 1e9)
+        monkeypatch.setattr(constants, "FAILED_MACHINE_AVOIDANCE_S", 1e9)
 
     async def story(world: World) -> None:
         world.spawn(world.user(_long_job(1, 2) | {"expectedS": 400.0}, None))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -115,7 +115,7 @@
         to, status, at = self.delayed[0] if again else self.delayed.pop(0)
         if self.is_running(to):
             taken = self.views[to].accept_status(status, answer=False)
-            if taken and self.clock.at - at <= constants.WORD_OLD_S:
+            if taken and self.clock.at - at <= constants.MAX_STATUS_AGE_S:
                 self.last_status_at[to, status.member] = self.clock.at
 
     @rule(one=MEMBER, other=MEMBER, steps=st.integers(1, 6), wakes=st.booleans())
@@ -174,7 +174,7 @@
         self.suspended[name] = False
         self.views[name].record_loop_delay(seconds)
         self.views[name].update_states()
-        if seconds > constants.LATE_S:  # it has no recent evidence yet
+        if seconds > constants.LOOP_DELAY_THRESHOLD_S:  # it has no recent evidence yet
             for other, state in before.items():
                 assert state == SUSPECT or self.views[name].state_of(other) != SUSPECT, other
 
@@ -189,7 +189,7 @@
     @invariant()
     def a_controller_that_sends_is_not_suspected(self) -> None:
         for (to, name), at in self.last_status_at.items():
-            if self.is_running(to) and self.clock.at - at <= constants.SUSPECT_S:
+            if self.is_running(to) and self.clock.at - at <= constants.SUSPICION_TIMEOUT_S:
                 assert self.views[to].state_of(name) == ALIVE, (to, name)
 
     @invariant()
@@ -358,7 +358,7 @@
             side = {"cloud"} if what == CLOUD else set(world.workers)
             world.cut({member}, side, 60.0, False)
             took = await _wait_until(world, 20.0, lambda: _acting_leader(world) not in (None, node))
-            assert took <= 10.0 + constants.CLOUD_TIMEOUT_S * (what == CLOUD)
+            assert took <= 10.0 + constants.CLOUD_REQUEST_TIMEOUT_S * (what == CLOUD)
             await asyncio.sleep(
                 0.5
             )  # it gets the answer to its commit a moment after the successor
@@ -380,7 +380,9 @@
             health.record_handover(True)
             health.start_leading()
     assert len(given) <= 8
-    assert all(b - a >= constants.HANDOVER_REST_S for a, b in zip(given, given[1:], strict=False))
+    assert all(
+        b - a >= constants.MIN_HANDOVER_PAUSE_S for a, b in zip(given, given[1:], strict=False)
+    )
 
 
 def test_of_two_processes_with_one_name_the_older_stops_serving() -> None:
@@ -515,7 +517,7 @@
         return plain(self, status, answer)
 
     patch.setattr(Views, "accept_status", accept_status)
-    patch.setattr(constants, "WORD_OLD_S", 1e9)
+    patch.setattr(constants, "MAX_STATUS_AGE_S", 1e9)
 
 
 VIEW_BUGS = [_any_silence_is_evidence, _loop_delays_ignored, _silence_means_failed]
--- a/tests/test_netstrings.py
+++ b/tests/test_netstrings.py
@@ -32,7 +32,7 @@
         b"2:{\xff,",
         b"9999999999",
         b":{},",
-        b"%d:" % (constants.NETSTRING_MAX + 1),
+        b"%d:" % (constants.MAX_NETSTRING_BYTES + 1),
     ],
 )
 def test_invalid_streams_are_refused(data: bytes) -> None:
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -329,7 +329,7 @@
     """Looks up each job with a request of its own, and refuses when over the limit."""
 
     async def present(self: Lookups, name: str) -> set[str]:
-        if not self._ledger.queries.take():
+        if not self._ledger.queries.try_acquire():
             raise NoAnswer("too many questions")
         return await self._ledger.existing_keys([JOB_PREFIX + name, END_PREFIX + name])
 
--- a/tests/test_oplog.py
+++ b/tests/test_oplog.py
@@ -102,9 +102,9 @@
     With odd seeds pages have more live attempts than one value holds.
     """
     long = seed % 2 > 0
-    monkeypatch.setattr(constants, "PAGE_TASKS", 300 if long else 20)
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT", 3)
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
+    monkeypatch.setattr(constants, "TASKS_PER_PAGE", 300 if long else 20)
+    monkeypatch.setattr(constants, "MIN_LOG_SEGMENTS", 3)
+    monkeypatch.setattr(constants, "MIN_LOG_BYTES", 0)
     rng = random.Random(seed)
     stored, log = Stored(1 + seed % 3), OpLog(VALUE_B)
     jobs: dict[str, Job] = {}
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -216,14 +216,14 @@
     """Otherwise a controller that crashes repeatedly would take the leadership each time."""
 
     async def story(world: World) -> None:
-        await asyncio.sleep(constants.YOUNG_S)
+        await asyncio.sleep(constants.MIN_CAMPAIGN_UPTIME_S)
         for _ in range(3):
             node = _acting_leader(world)
             assert node is not None
             member = node.settings.member
             _, then = await _restart_and_wait(world, [member])
             assert then.settings.member != member
-            await asyncio.sleep(constants.YOUNG_S + 1.0)
+            await asyncio.sleep(constants.MIN_CAMPAIGN_UPTIME_S + 1.0)
 
     tell(story, 4, loss=0.0)
 
@@ -405,7 +405,7 @@
         assert all(rows == sorted(set(rows)) and rows[0] for rows in stamps.values())
         assert leads == sorted(set(leads)) and leads[0]
         assert len(world.store.leases) < 60  # leases of ended processes expire by themselves
-        await asyncio.sleep(constants.MEMBER_TTL_S + 2.0)
+        await asyncio.sleep(constants.MEMBER_LEASE_S + 2.0)
         assert len(world.store.leases) <= 2 * len(world.members) + 1
 
     tell(story, 5, loss=0.0)
@@ -415,7 +415,7 @@
     """One controller, the preferred leader, crashes again and again."""
 
     async def story(world: World) -> None:
-        await asyncio.sleep(constants.YOUNG_S)
+        await asyncio.sleep(constants.MIN_CAMPAIGN_UPTIME_S)
         node = _acting_leader(world)
         assert node is not None
         member, before = node.settings.member, world.store.rev
