--- a/tests/test_settings_and_users.py
+++ b/tests/test_settings_and_users.py
@@ -11,11 +11,11 @@
 
 from chalkgrade.cli import main
 from chalkgrade.experiments import licences
-from chalkgrade.logs import about, formatter
+from chalkgrade.logs import decision_fields, make_formatter
 from chalkgrade.record.jobs import SubmissionError, parse_submission
 from chalkgrade.region.loop import VirtualLoop
 from chalkgrade.region.world import World, close
-from chalkgrade.settings import SettingsError, parse, parse_operator
+from chalkgrade.settings import SettingsError, parse_operator_settings, parse_settings
 
 GOOD = """
 member = "n-0"
@@ -35,7 +35,7 @@
 
 
 def test_good_settings_and_unknown_fields() -> None:
-    settings = parse(GOOD.encode())
+    settings = parse_settings(GOOD.encode())
     assert settings.cluster.teams[0].cpus_max == 8.0
 
 
@@ -107,13 +107,13 @@
 
 def test_json_lines_carry_what_a_decision_is_about() -> None:
     record = logging.LogRecord("chalkgrade.x", logging.INFO, "f", 1, "%s ends", ("run-1/0",), None)
-    for name, value in about(7, "run-1", "host-2", "run-1/0#3").items():
+    for name, value in decision_fields(7, "run-1", "host-2", "run-1/0#3").items():
         setattr(record, name, value)
-    line = msgspec.json.decode(formatter("json").format(record))
+    line = msgspec.json.decode(make_formatter("json").format(record))
     assert line["message"] == "run-1/0 ends" and line["level"] == "INFO"
     fields = {name: line[name] for name in ("term", "job", "machine", "attempt")}
     assert fields == {"term": 7, "job": "run-1", "machine": "host-2", "attempt": "run-1/0#3"}
-    assert formatter("plain").format(record).endswith("INFO chalkgrade.x run-1/0 ends")
+    assert make_formatter("plain").format(record).endswith("INFO chalkgrade.x run-1/0 ends")
 
 
 XML = (
@@ -123,7 +123,7 @@
 
 
 def test_operator_settings() -> None:
-    operator = parse_operator(XML.encode(), {"red"})
+    operator = parse_operator_settings(XML.encode(), {"red"})
     assert operator.nmin == 4
     assert operator.bursts[0].deadline_s == 20.0
 
@@ -145,7 +145,7 @@
 )
 def test_wrong_operator_settings_name_the_field(old: str, new: str, named: str) -> None:
     with pytest.raises(SettingsError, match=named) as found:
-        parse_operator(XML.replace(old, new).encode(), {"red"})
+        parse_operator_settings(XML.replace(old, new).encode(), {"red"})
     assert found.value.line == 1 or "entities" in named
 
 
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -9,8 +9,8 @@
 import pytest
 
 from chalkgrade import constants
+from chalkgrade.bounded_dict import BoundedDict
 from chalkgrade.experiments import small_jobs
-from chalkgrade.latest import Latest
 from chalkgrade.leading import images
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Machine
@@ -63,7 +63,7 @@
 
 def _ended_jobs_are_kept(patch: Patch) -> None:
     """The table of ended jobs has no bound."""
-    patch.setattr(Latest, "__setitem__", dict.__setitem__)
+    patch.setattr(BoundedDict, "__setitem__", dict.__setitem__)
 
 
 def _ends_are_not_batched(patch: Patch) -> None:
@@ -90,8 +90,8 @@
 
 def _run_with_small_caches(patch: Patch) -> None:
     """Runs a day with room for 30 ended jobs in memory; others are known from the record only."""
-    patch.setattr(constants, "OVER_KEPT", 30)
-    patch.setattr(constants, "FINAL_CACHE", 30)
+    patch.setattr(constants, "MAX_ENDED_JOBS", 30)
+    patch.setattr(constants, "MAX_CACHED_FINAL_STATES", 30)
     sizes: list[int] = []
     original = RecentEnds.__setitem__
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -68,8 +68,8 @@
 
 
 def test_without_a_time_limit_a_commit_that_never_ends_stops_all_work(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(constants, "COMMIT_MOST_S", 1e9)
-    monkeypatch.setattr(constants, "STALL_S", 1e9)
+    monkeypatch.setattr(constants, "COMMIT_TIMEOUT_S", 1e9)
+    monkeypatch.setattr(constants, "WRITE_STALL_S", 1e9)
 
     async def story(world: Any) -> None:
         _stall_one_commit(world, "for ever", monkeypatch)
@@ -100,7 +100,7 @@
             await plain(self, changes, edits)
 
         monkeypatch.setattr(Writer, "_write", write)
-        await _wait_for_job(world, constants.STALL_S + 30.0)
+        await _wait_for_job(world, constants.WRITE_STALL_S + 30.0)
         assert world.stalled_by == ["write"] and leader.term is not first_term
 
     tell(story, 3, loss=0.0, kind=StallingWorld)
@@ -113,8 +113,8 @@
         world.spawn(world.user(_short_job(1), None))
         await _wait_until(world, 30.0, lambda: world.jobs and world.jobs["run-000001"]["accepted"])
         leader = _acting_leader(world)
-        world.store.outage(constants.STALL_S + 15.0)
-        await asyncio.sleep(constants.STALL_S + 25.0)
+        world.store.outage(constants.WRITE_STALL_S + 15.0)
+        await asyncio.sleep(constants.WRITE_STALL_S + 25.0)
         assert _acting_leader(world) is leader
         await _wait_until(world, 30.0, lambda: world.jobs["run-000001"]["over"] == "done")
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -64,7 +64,7 @@
     assert sick.failures == 1
     assert not good.is_faulty
     good.finish(good.place(10, third.name), True)
-    assert sick.failures >= constants.SUSPECT_FAILURES
+    assert sick.failures >= constants.MAX_MACHINE_FAILURES
     assert sound.failures == third.failures == 0
 
 
@@ -173,7 +173,7 @@
 
     Where nobody else could lead: it keeps the lead.
     """
-    monkeypatch.setattr(constants, "UNFIT_S", 1e9)
+    monkeypatch.setattr(constants, "UNHEALTHY_LEADER_TIMEOUT_S", 1e9)
 
     async def story(world: World) -> None:
         leader, _ = _roles(world)
@@ -191,7 +191,7 @@
         assert leader.leadership.may_act()
         assert all(worker.tenure == 1 and worker.alive for worker in first.values())
         # Once the way is open again, the others need not carry reports for ever.
-        await asyncio.sleep(2 * constants.RELAY_S)
+        await asyncio.sleep(2 * constants.RELAY_PERIOD_S)
         assert {worker.target for worker in world.workers.values()} == {member}
 
     tell(story, 2, loss=0.0)
@@ -211,7 +211,7 @@
         answers = [status for status, _ in await asyncio.gather(*asked)]
         assert set(answers) == {404, 503}
         assert world.now - begun < 2.0  # what can't be answered is refused, not kept
-        assert node.ledger.requests.level() > 0.25 * node.ledger.requests.burst
+        assert node.ledger.requests.available_tokens() > 0.25 * node.ledger.requests.max_tokens
         assert world.store.refused_calls == 0
 
     tell(story, loss=0.0)
@@ -292,8 +292,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Found in an incident: a huge job was aborted with more operations than one value holds."""
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT", 0)
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
+    monkeypatch.setattr(constants, "MIN_LOG_SEGMENTS", 0)
+    monkeypatch.setattr(constants, "MIN_LOG_BYTES", 0)
 
     async def story(world: World) -> None:
         leader, _ = _roles(world)
@@ -464,8 +464,8 @@
 ) -> None:
     """Found on a fleet day: behind one commit of two seconds each submission waited."""
     if in_a_row:  # as it was
-        monkeypatch.setattr(constants, "ADMIT_LANES", 1)
-        monkeypatch.setattr(constants, "HEDGE_TIMES", 1e9)
+        monkeypatch.setattr(constants, "ADMISSION_LANE_COUNT", 1)
+        monkeypatch.setattr(constants, "HEDGE_DELAY_RATIO", 1e9)
     took: list[float] = []
 
     async def story(world: World) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -10,7 +10,7 @@
 from chalkgrade.record.oplog import INTERRUPTED, Op, SegmentValue
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, play, tell
-from chalkgrade.settings import SettingsError, parse
+from chalkgrade.settings import SettingsError, parse_settings
 from chalkgrade.state.limits import EffectiveLimits
 from piped import Piped, production
 from test_settings_and_users import GOOD
@@ -163,7 +163,7 @@
 
 
 def test_a_refused_large_commit_is_not_repeated_unless_it_may_have_been_applied() -> None:
-    limits = EffectiveLimits(parse(_with_next("value_kb = 2.0")).cluster.state)
+    limits = EffectiveLimits(parse_settings(_with_next("value_kb = 2.0")).cluster.state)
     assert limits.max_value_bytes < 2048 < limits.max_rewrite_bytes
     assert not limits.note_rejected_commit(1000)  # refused for something else
     assert limits.max_rewrite_bytes > 2048
@@ -190,13 +190,13 @@
 )
 def test_wrong_next_limits_are_one_plain_line(text: str, wrong: str) -> None:
     with pytest.raises(SettingsError) as found:
-        parse(_with_next(text))
+        parse_settings(_with_next(text))
     assert str(found.value).startswith(wrong) and found.value.line is not None
 
 
 def test_next_limits_may_be_absent_in_part_or_larger() -> None:
-    state = parse(_with_next("value_kb = 64.0\nnovelty = 1")).cluster.state
-    least = state.least()
+    state = parse_settings(_with_next("value_kb = 64.0\nnovelty = 1")).cluster.state
+    least = state.lowest_limits()
     assert (least.value_kb, least.txn_ops, least.rps) == (16.0, 16, 200.0)
 
 
