--- a/src/chalkgrade/constants.py
+++ b/src/chalkgrade/constants.py
@@ -1,452 +1,421 @@
-"""Every tuning value of the program, each with its unit and its reason.
+"""The tuning constants of the program, each with its unit and, where needed, its reason.
 
-Values that an operator may override (see `settings.OperatorSettings`) start
-from the ones given here.
+The suffix of a name is its unit: `_S` seconds, `_BYTES`, `_KB` KiB, `_RPS` requests a second,
+`_RATIO` a fraction or factor. Constants that an operator may override are the defaults of
+`settings.OperatorSettings`.
 """
 
 from typing import Final
 
-# --- shares -----------------------------------------------------------------
-MIN_FAIRNESS_TEAMS: Final = 3  # teams; floor of N in the safety check, the design's trial value
-MAX_ROUND_INTERVAL_S: Final = (
-    1.0  # s; longest time between two scheduling rounds, the design's trial value
-)
-MIN_ROUND_INTERVAL_S: Final = (
-    0.15  # s; shortest gap between rounds, so bursts of reports share one round
-)
-DRF_STEP: Final = 0.005  # of the cluster, that the least served gets at once in step 6
-STARVATION_WAIT_S: Final = (
-    30.0  # s; a queue whose oldest job waits longer gets half of its fair share
-)
-STARVATION_ALLOCATION_RATIO: Final = (
-    0.5  # of that half: who holds more is served, if slowly, and left alone
-)
-STARVATION_CAPACITY_RATIO: Final = 0.5  # of the capacity, that such queues get before others
+# --- fair sharing -------------------------------------------------------------
+# The safety check assumes at least this many teams.
+MIN_FAIRNESS_TEAMS: Final = 3
+MAX_ROUND_INTERVAL_S: Final = 1.0  # longest time between two scheduling rounds
+# Shortest gap between rounds, so that a burst of reports is handled in one round.
+MIN_ROUND_INTERVAL_S: Final = 0.15
+# Ratio of the cluster that the least-served queue gets at once in step 6 of a round.
+DRF_STEP: Final = 0.005
+# A queue whose oldest job waits longer than this is starved and gets half of its fair share.
+STARVATION_WAIT_S: Final = 30.0
+# A starved queue that holds more than this ratio of that half is being served, if slowly, and
+# gets nothing extra.
+STARVATION_ALLOCATION_RATIO: Final = 0.5
+# Ratio of the capacity that starved queues get before the others.
+STARVATION_CAPACITY_RATIO: Final = 0.5
 LARGEST_JOBS_RATIO: Final = 0.1  # of a class's unfinished jobs count as its largest
-LARGEST_WAIT_S: Final = 60.0  # s; those of them that wait longer get a part of their queue's room
-LARGEST_BOUND_WAIT_S: Final = 150.0  # s; the same for those that can still meet a bound
-LARGEST_SHARE: Final = 0.3  # of the room of their queue, for the longest-waiting until it is done
-LARGEST_LIMIT: Final = 0.5  # of it, so that all tasks of that job run at once: no second wave
-STARVATION_RESERVE_RATIO: Final = (
-    0.05  # of the machines, kept for tasks of theirs that need much of one
-)
-DRAIN_RESELECTION_S: Final = (
-    10.0  # s; a machine that empties for a queue stays chosen if so little later
-)
-EVEN_SHARE_RATIO: Final = 0.25  # of the capacity, evenly to all teams beside their guarantees
-ROUND_PAUSE_RATIO: Final = 4.0  # times what a round took: at least so long is left for other work
-RUN_TIME_CORRECTION_WEIGHT: Final = (
-    0.3  # weight of a new observation in the run-time correction of a class
-)
-MIN_RUN_TIME_CORRECTION_RATIO: Final = (
-    0.3  # lower bound of that correction: estimates are off by half, not by 10x
-)
-MAX_RUN_TIME_CORRECTION_RATIO: Final = 3.0  # upper bound of the same
-MAX_QUEUE_RECORD_VALUES: Final = (
-    6  # values at most that queues' records are kept in; each is read at a start
-)
-BURST_GAP_S: Final = 5.0  # s; jobs that come closer than this count as one burst of their queue
+# The largest jobs that wait longer than this get a part of their queue's share.
+LARGEST_WAIT_S: Final = 60.0
+LARGEST_BOUND_WAIT_S: Final = 150.0  # the same for those that can still meet a bound
+# Ratio of the queue's share that the longest-waiting of them gets until it is done.
+LARGEST_SHARE: Final = 0.3
+# That ratio grows up to this one so that all tasks of the job run at once, without a second wave.
+LARGEST_LIMIT: Final = 0.5
+# Ratio of the machines reserved for tasks of starved queues that need much of one machine.
+STARVATION_RESERVE_RATIO: Final = 0.05
+# A machine that is being drained for a queue stays selected if it is free at most this much
+# later than the best alternative.
+DRAIN_RESELECTION_S: Final = 10.0
+# Ratio of the capacity that is split evenly among all teams in addition to their guarantees.
+EVEN_SHARE_RATIO: Final = 0.25
+# The pause after a round is at least this many times the round's duration, for other work.
+ROUND_PAUSE_RATIO: Final = 4.0
+# Weight of a new observation in the run-time correction of a class.
+RUN_TIME_CORRECTION_WEIGHT: Final = 0.3
+# Bounds of that correction: estimates are off by half, not by a factor of 10.
+MIN_RUN_TIME_CORRECTION_RATIO: Final = 0.3
+MAX_RUN_TIME_CORRECTION_RATIO: Final = 3.0
+# The queues' records are split over at most this many values; each is read at a start.
+MAX_QUEUE_RECORD_VALUES: Final = 6
+BURST_GAP_S: Final = 5.0  # jobs of a queue that arrive closer than this form one burst
 
-# --- leadership -------------------------------------------------------------
-# A crashed leader blocks the cluster for the length of its lease, which follows what was
-# measured: the state service's slow answers and how late controllers' loops run.
-MAX_LEADER_LEASE_S: Final = (
-    3.0  # s; the longest, and what is taken once a lease ended under its holder
-)
-MIN_LEADER_LEASE_S: Final = 1.8  # s; the shortest; 1.4 s of it are left after the margin
-LEASE_RESPONSE_TIME_RATIO: Final = (
-    3.0  # times a slow answer of the state service, that are added to it
-)
-LEASE_LOOP_DELAY_RATIO: Final = 2.0  # times the worst lateness of a loop, that are added to it
-LONG_LEASE_PERIOD_S: Final = (
-    300.0  # s; after a lease that ended under its holder it is long for so long
-)
-LEASE_RENEWAL_INTERVAL_RATIO: Final = (
-    0.23  # of a lease, between two renewals: four tries within one
-)
-MAX_CONCURRENT_RENEWALS: Final = (
-    3  # renewals under way at once: one late answer must not hold up the next
-)
-HANDOVER_COMMIT_TIMEOUT_S: Final = (
-    0.5  # s; a commit that moves the lead; longer, and the lease is ended
-)
-CAMPAIGN_STAGGER_S: Final = 0.08  # s; between two controllers' campaigns, in order of readiness
-MAX_CAMPAIGN_RANK: Final = 8  # steps; with 50 controllers the last need not wait for seconds
-CLOCK_DRIFT_RATIO: Final = 0.001  # ratio; twice the bound on steady clocks (0.05 %)
-LEADER_LEASE_MARGIN_S: Final = 0.4  # s; stop acting this much before the lease can end
-LEADER_WATCH_BLOCK_S: Final = 5.0  # s; how long a follower's watch on the leader key blocks
-CAMPAIGN_RETRY_INTERVAL_S: Final = 0.25  # s; between failed campaigns, jittered
-CANCELLATION_GRACE_MARGIN_S: Final = (
-    5.0  # s; kept free of cancel_s when keeping worker leases in an outage
-)
-CANCELLATION_POLL_INTERVAL_S: Final = 2.0  # s; between two questions to all others in an outage
-CANCELLATION_POLL_SLACK_S: Final = (
-    3.0  # s; a question's way, at most PEER_REQUEST_TIMEOUT_S, and the clocks' drift
-)
-MAX_REMEMBERED_CANCELLATIONS: Final = (
-    20_000  # cancellations that a process remembers having told: 2 MB
-)
+# --- leadership ---------------------------------------------------------------
+# A crashed leader blocks the cluster until its lease ends. The lease therefore adapts to the
+# slow answers of the state service and to the event-loop delays of the controllers.
+MAX_LEADER_LEASE_S: Final = 3.0  # also used after a lease expired while its holder was healthy
+MIN_LEADER_LEASE_S: Final = 1.8  # leaves 1.4 s after the margin
+LEASE_RESPONSE_TIME_RATIO: Final = 3.0  # times a slow answer of the state service is added
+LEASE_LOOP_DELAY_RATIO: Final = 2.0  # times the worst event-loop delay is added
+# The lease has its full length for this long after one expired while its holder was healthy.
+LONG_LEASE_PERIOD_S: Final = 300.0
+# Interval between renewals as a ratio of the lease: four attempts fit into one lease.
+LEASE_RENEWAL_INTERVAL_RATIO: Final = 0.23
+# Renewals in flight at once: one late answer must not delay the next renewal.
+MAX_CONCURRENT_RENEWALS: Final = 3
+# A commit that transfers the leadership and takes longer than this ends the lease.
+HANDOVER_COMMIT_TIMEOUT_S: Final = 0.5
+# Delay between the campaigns of two controllers, in the order of their readiness.
+CAMPAIGN_STAGGER_S: Final = 0.08
+# Highest rank that still adds a delay: with 50 controllers the last must not wait for seconds.
+MAX_CAMPAIGN_RANK: Final = 8
+CLOCK_DRIFT_RATIO: Final = 0.001  # twice the bound on monotonic clocks (0.05 %)
+LEADER_LEASE_MARGIN_S: Final = 0.4  # a leader stops acting this long before its lease can end
+LEADER_WATCH_BLOCK_S: Final = 5.0  # how long a follower's watch on the leader key blocks
+CAMPAIGN_RETRY_INTERVAL_S: Final = 0.25  # between failed campaigns, with jitter
+# Part of cancel_s that is left unused when worker leases are kept during an outage.
+CANCELLATION_GRACE_MARGIN_S: Final = 5.0
+CANCELLATION_POLL_INTERVAL_S: Final = 2.0  # between two polls of all other controllers in an outage
+# Covers the transfer of a poll, at most PEER_REQUEST_TIMEOUT_S, and the drift of the clocks.
+CANCELLATION_POLL_SLACK_S: Final = 3.0
+# Acknowledged cancellations that a process remembers; they take 2 MB.
+MAX_REMEMBERED_CANCELLATIONS: Final = 20_000
 
 # --- membership ---------------------------------------------------------------
-PROBE_ROUND_INTERVAL_S: Final = (
-    0.5  # s; between two rounds of questions: two must be lost before a suspicion
-)
-PINGED_FOLLOWERS_PER_ROUND: Final = (
-    1  # controllers besides the leader that are asked in one: the cost is bounded
-)
-SUSPICION_TIMEOUT_S: Final = (
-    1.2  # s; without any sign of life before a suspicion, two questions and the way
-)
-HINTS_INTERVAL_S: Final = 4.0  # s; between two tellings of what the record does not have
-MAX_HINTS_AGE_S: Final = 30.0  # s; older ones are of no use
-MAX_HINTS_PER_KIND: Final = 1000  # entries of each kind that can be many
-HINTS_PEER_COUNT: Final = (
-    0  # controllers told; 0: off, since with 2 a day on the bench fell by 0.06
-)
-MAX_ANNOUNCED_PEERS: Final = (
-    16  # controllers told at once of a new lead; the others hear in their turn
-)
-INDIRECT_PROBE_DELAY_S: Final = 0.1  # s; unanswered for so long, others are asked on our behalf
-INDIRECT_PROBE_HELPER_COUNT: Final = 2  # of them: one may be cut off as we are
-HEALTH_CHECK_INTERVAL_S: Final = 1.0  # s; between a leader's looks at itself
-UNHEALTHY_LEADER_TIMEOUT_S: Final = (
-    6.0  # s; without the cloud, or without a worker's own report, before it acts
-)
-MIN_HANDOVER_PAUSE_S: Final = 60.0  # s; no second planned handover by the same controller within
-MAX_HANDOVER_PAUSE_S: Final = 900.0  # s; that pause doubles up to this
-MAX_HANDOVER_CANDIDATES: Final = 2  # controllers asked whether they would be better
-HANDOVER_REQUEST_TIMEOUT_S: Final = 2.0  # s; for their proof and their lease
-PING_RESPONSE_TIMEOUT_S: Final = 0.6  # s; an answer takes milliseconds, or a late loop's time
-INDIRECT_PROBE_TIMEOUT_S: Final = 0.5  # s; they try for so long, below what we wait for them
-LOOP_DELAY_THRESHOLD_S: Final = (
-    0.4  # s; a loop that runs later than this proves nothing of others' silence
-)
-LOOP_DELAY_RETENTION_S: Final = 30.0  # s; lateness is remembered for so long
-MAX_PREVIOUS_PROCESSES: Final = (
-    4  # earlier processes of a controller; a word is held for a second at most
-)
-MAX_STATUS_AGE_S: Final = (
-    1.0  # s; a word older than this by its sender's time of day is no sign of life
-)
-DROPPED_MESSAGES_LOG_INTERVAL_S: Final = 60.0  # s; between two lines about dropped messages
-MAX_FENCING_TOKEN: Final = (
-    1 << 63
-)  # tokens are integers below 2^64; what is believed before any read
-PROTOCOL_VERSION: Final = 1  # of words and records; rises when others must know which one we are
-MIN_CAMPAIGN_UPTIME_S: Final = (
-    10.0  # s; who started later lets others lead: it may be in a loop of crashes
-)
-REVISION_LOOKAHEAD_S: Final = 60.0  # s of changes, by which another may know more than we do
-MAX_NO_LEADER_S: Final = 4.0  # s; after that the leader is only out of our reach: none is kept
-NO_LEADER_REPORT_HOLD_S: Final = 2.4  # s; a report waits for a leader; workers give up at 4 s
-MEMBER_LEASE_S: Final = 12.0  # s; a controller's own lease; back within some 6 s, it keeps its key
-MEMBER_LEASE_RENEWAL_INTERVAL_S: Final = (
-    2.0  # s; below MAX_STATE_ANSWER_AGE_S: who is quiet still knows what it reaches
-)
+# Between two probe rounds: two rounds must be lost before a controller is suspected.
+PROBE_ROUND_INTERVAL_S: Final = 0.5
+# Controllers besides the leader that are pinged in a round, which bounds its cost.
+PINGED_FOLLOWERS_PER_ROUND: Final = 1
+# A controller without a sign of life for this long is suspected: two probes and the transfer.
+SUSPICION_TIMEOUT_S: Final = 1.2
+HINTS_INTERVAL_S: Final = 4.0  # between two transmissions of hints, which the record lacks
+MAX_HINTS_AGE_S: Final = 30.0  # older hints are of no use
+MAX_HINTS_PER_KIND: Final = 1000  # for the kinds that can have many entries
+# Controllers that get hints. 0 turns them off: with 2, the result of a bench day fell by 0.06.
+HINTS_PEER_COUNT: Final = 0
+# Controllers that a new leader notifies at once; the others learn of it in their probe round.
+MAX_ANNOUNCED_PEERS: Final = 16
+# A ping that is unanswered for this long is repeated through other controllers.
+INDIRECT_PROBE_DELAY_S: Final = 0.1
+# Controllers asked for an indirect probe: one of them may be cut off as this one is.
+INDIRECT_PROBE_HELPER_COUNT: Final = 2
+HEALTH_CHECK_INTERVAL_S: Final = 1.0  # between two health checks of a leader on itself
+# A leader without the cloud, or without a direct worker report, for this long hands over.
+UNHEALTHY_LEADER_TIMEOUT_S: Final = 6.0
+# A controller makes no second planned handover within this pause, which doubles up to the maximum.
+MIN_HANDOVER_PAUSE_S: Final = 60.0
+MAX_HANDOVER_PAUSE_S: Final = 900.0
+MAX_HANDOVER_CANDIDATES: Final = 2  # controllers asked whether they are better placed to lead
+HANDOVER_REQUEST_TIMEOUT_S: Final = 2.0  # for a candidate's health check and its lease
+# An answer takes milliseconds, or as long as a delayed event loop.
+PING_RESPONSE_TIMEOUT_S: Final = 0.6
+# How long a helper waits for an indirect probe; shorter than the requester waits for the helper.
+INDIRECT_PROBE_TIMEOUT_S: Final = 0.5
+# While its event loop is delayed by more than this, a controller can't judge others' silence.
+LOOP_DELAY_THRESHOLD_S: Final = 0.4
+LOOP_DELAY_RETENTION_S: Final = 30.0  # how long event-loop delays are remembered
+# Previous processes remembered of a controller; a message is delayed by a second at most.
+MAX_PREVIOUS_PROCESSES: Final = 4
+# A status that is older than this by its sender's wall clock is no sign of life.
+MAX_STATUS_AGE_S: Final = 1.0
+DROPPED_MESSAGES_LOG_INTERVAL_S: Final = 60.0  # between two log lines about dropped messages
+# Tokens are integers below 2^64. This value is assumed until one has been read.
+MAX_FENCING_TOKEN: Final = 1 << 63
+# Of messages and records; raised when other controllers must know which version one runs.
+PROTOCOL_VERSION: Final = 1
+# A process younger than this lets others campaign first: it may be in a crash loop.
+MIN_CAMPAIGN_UPTIME_S: Final = 10.0
+# Seconds of changes by which another controller may know a higher revision than this one.
+REVISION_LOOKAHEAD_S: Final = 60.0
+# Reports are held for an unknown leader for this long; after that the leader is only out of this
+# controller's reach, and none is held.
+MAX_NO_LEADER_S: Final = 4.0
+NO_LEADER_REPORT_HOLD_S: Final = 2.4  # one report is held for a leader; workers give up at 4 s
+# A controller's membership lease; a controller that is back within about 6 s keeps its key.
+MEMBER_LEASE_S: Final = 12.0
+# Below MAX_STATE_ANSWER_AGE_S, so that an idle controller still knows whether it reaches the
+# state service.
+MEMBER_LEASE_RENEWAL_INTERVAL_S: Final = 2.0
 
-# --- pipelines ---------------------------------------------------------------
-MAX_JOB_END_READS: Final = (
-    8  # ends read at once: a takeover must not spend a second's requests on them
-)
-MAX_LOGGED_JOBS: Final = 5  # of the jobs that one waits for, in a log line
-MAX_DEPENDENCY_LOOKUP_PAUSE_S: Final = (
-    4.0  # s; longest pause between two looks for a job on no record yet
-)
-UPCOMING_WORK_HORIZON_S: Final = 60.0  # s; what may run within so long is thought of in machines
-LAST_TASK_RUN_TIME_RATIO: Final = (
-    1.3  # times the usual run time: how long the last of a job's tasks takes
-)
-STAGE_START_DELAY_S: Final = (
-    1.5  # s; from a durable end to the next stage's launches: commit, round, report
-)
+# --- pipelines ----------------------------------------------------------------
+# Ends of jobs read at once: a takeover must not spend a second's requests on them.
+MAX_JOB_END_READS: Final = 8
+MAX_LOGGED_JOBS: Final = 5  # names of unfinished dependencies in one log line
+# Longest pause between two lookups of a dependency that is not on record yet.
+MAX_DEPENDENCY_LOOKUP_PAUSE_S: Final = 4.0
+UPCOMING_WORK_HORIZON_S: Final = 60.0  # work that may start within this counts in rental plans
+# The last of a job's tasks takes this many times the usual run time.
+LAST_TASK_RUN_TIME_RATIO: Final = 1.3
+# From a durable job end to the next stage's launches: a commit, a round and a report.
+STAGE_START_DELAY_S: Final = 1.5
 
-# --- ledger -----------------------------------------------------------------
-STATE_REQUEST_TIMEOUT_S: Final = 2.0  # s; replies take under 10 ms, rarely a few hundred
-# A commit that neither answered nor failed by then is taken for lost: each of its requests has its
-# own time-out, and waits for changes at hand for a second or two before.
-COMMIT_TIMEOUT_S: Final = 10.0  # s
-WRITE_STALL_S: Final = 30.0  # s; for which a leader may write nothing though there is something
-WRITE_STALL_CHECK_INTERVAL_S: Final = 5.0  # s; between two looks at that
-STATE_RETRY_INTERVAL_S: Final = 0.25  # s; between retries of a state-service call
-# The rest is split among the other controllers, so that all parts sum to the limit.
-LEADER_WRITE_RATE_RATIO: Final = (
-    0.7  # share of write_rps for the leader: all progress goes through it
-)
-LEADER_REQUEST_RATE_RATIO: Final = 0.5  # share of rps for the leader; others serve users and watch
-QUERY_REQUEST_RATE_RATIO: Final = (
-    0.5  # of a node's requests, for reads on behalf of users' questions
-)
-COMMIT_COALESCING_S: Final = (
-    0.03  # s; wait after the first dirty record, so one commit carries many
-)
-ADMISSION_LANE_COUNT: Final = (
-    4  # commits of submissions under way at once; one slow one holds up a quarter
-)
-UNBATCHED_ADMISSION_RATIO: Final = (
-    0.5  # of a second's changes at hand: a submission need not wait for company
-)
-ADMISSION_WRITE_RATE_RATIO: Final = (
-    0.5  # of the changes a second that submissions take where they are short
-)
-JOB_END_BATCH_RATIO: Final = 0.9  # of a second's changes, that a commit of ends waits for at most
-MAX_JOB_END_BATCH_WAIT_S: Final = 1.0  # s; how long it waits for them at most
-HEDGE_DELAY_RATIO: Final = 1.4  # times the usual answer, after which a commit is sent a second time
-MIN_HEDGE_DELAY_S: Final = 0.04  # s; not sooner: usual answers take 5 to 10 ms
-COMMIT_OBSERVATION_DELAY_RATIO: Final = (
-    2.0  # times that, after which what the commit writes is looked at as well
-)
-HEDGE_SPARE_WRITES_RATIO: Final = (
-    0.25  # of a second's changes, that must be at hand beyond a second copy
-)
-MIN_HEDGE_READ_TOKENS: Final = 3.0  # requests at hand, with which a read may be sent a second time
-LATENCY_SAMPLE_COUNT: Final = 31  # answers that the usual one is the median of
-LONG_WATCH_BLOCK_S: Final = 20.0  # s; long watches keep the request budget free
-FINAL_STATES_POLL_INTERVAL_S: Final = (
-    0.5  # s; between two looks for final states, so many ends share one
-)
-WATCH_TIMEOUT_MARGIN_S: Final = 5.0  # s; beyond the block time before a watch counts as lost
-LIST_PAGE_ROWS: Final = 200  # rows; 200 pages of task records stay far below 512 KiB... per reply
-# Ended jobs that a leader still knows: late news of a submission must not bring one back, and
-# that is late by seconds; at 70 ends a second these are those of the last 20 minutes.
+# --- state service and record -------------------------------------------------
+STATE_REQUEST_TIMEOUT_S: Final = 2.0  # replies take under 10 ms, rarely a few hundred
+# A commit that neither succeeded nor failed by then counts as lost: each of its requests has its
+# own timeout, and before that it waits for write tokens for a second or two.
+COMMIT_TIMEOUT_S: Final = 10.0
+WRITE_STALL_S: Final = 30.0  # how long a leader may write nothing although changes are pending
+WRITE_STALL_CHECK_INTERVAL_S: Final = 5.0
+STATE_RETRY_INTERVAL_S: Final = 0.25  # between retries of a call of the state service
+# Ratios of write_rps and rps for the leader: all progress goes through its writes, while the
+# others serve users and watch. The rest is split evenly among the other controllers, so that all
+# parts add up to the limit.
+LEADER_WRITE_RATE_RATIO: Final = 0.7
+LEADER_REQUEST_RATE_RATIO: Final = 0.5
+QUERY_REQUEST_RATE_RATIO: Final = 0.5  # of a controller's requests, for reads that users cause
+COMMIT_COALESCING_S: Final = 0.03  # wait after the first dirty record, so that a commit has many
+# Concurrent commits of submissions; a slow one delays a quarter of the submissions.
+ADMISSION_LANE_COUNT: Final = 4
+# With this ratio of a second's write tokens available, a submission is not delayed for batching.
+UNBATCHED_ADMISSION_RATIO: Final = 0.5
+# Ratio of the write rate that submissions get when write tokens are short.
+ADMISSION_WRITE_RATE_RATIO: Final = 0.5
+# A commit of job ends waits for at most this ratio of a second's write tokens, and no longer
+# than MAX_JOB_END_BATCH_WAIT_S.
+JOB_END_BATCH_RATIO: Final = 0.9
+MAX_JOB_END_BATCH_WAIT_S: Final = 1.0
+# A commit is sent a second time after this many times the usual answer time.
+HEDGE_DELAY_RATIO: Final = 1.4
+MIN_HEDGE_DELAY_S: Final = 0.04  # usual answers take 5 to 10 ms
+# After this many times the hedge delay, the keys that a commit writes are read as well.
+COMMIT_OBSERVATION_DELAY_RATIO: Final = 2.0
+# Ratio of a second's write tokens that must remain available beyond a second copy of a commit.
+HEDGE_SPARE_WRITES_RATIO: Final = 0.25
+MIN_HEDGE_READ_TOKENS: Final = 3.0  # request tokens with which a read may be sent again
+LATENCY_SAMPLE_COUNT: Final = 31  # answers whose median is the usual answer time
+LONG_WATCH_BLOCK_S: Final = 20.0  # long watches save requests
+# Between two reads of final states, so that several job ends share one read.
+FINAL_STATES_POLL_INTERVAL_S: Final = 0.5
+WATCH_TIMEOUT_MARGIN_S: Final = 5.0  # beyond the block time before a watch counts as lost
+LIST_PAGE_ROWS: Final = 200  # 200 pages of task records stay far below 512 KiB per reply
+# Ended jobs that a leader still remembers. A submission that arrives late must not start an ended
+# job again; it is late by seconds, and at 70 ends a second these are the last 20 minutes.
 MAX_ENDED_JOBS: Final = 100_000
-MAX_GONE_MACHINES: Final = (
-    50_000  # machines surely gone that a leader knows: copies come minutes late
-)
+# Machines certainly gone that a leader remembers: copies of reports arrive minutes late.
+MAX_GONE_MACHINES: Final = 50_000
 TASKS_PER_PAGE: Final = 200  # tasks in one checkpoint; 200 live attempts take 7 KB of JSON
-ATTEMPT_ENTRY_BYTES: Final = 36  # bytes; a live attempt in a page or the log: number, try, machine
-MAX_PAGE_KB: Final = (
-    TASKS_PER_PAGE * ATTEMPT_ENTRY_BYTES + 1024
-) / 1024  # KiB; a page, and what is done
-MIN_VALUE_KB: Final = 1.0  # KiB; the record of one job must fit a value
-MIN_WRITE_RPS: Final = 3  # changes/s; the end of a job is three, written together
+# A live attempt in a page or in the log: task number, attempt number, machine.
+ATTEMPT_ENTRY_BYTES: Final = 36
+# A full page with its list of finished tasks.
+MAX_PAGE_KB: Final = (TASKS_PER_PAGE * ATTEMPT_ENTRY_BYTES + 1024) / 1024
+MIN_VALUE_KB: Final = 1.0  # the record of one job must fit a value
+MIN_WRITE_RPS: Final = 3  # changes a second; a job's end is three, written together
 JOB_END_OPS: Final = 3  # changes of a job's end: its final key, its record, its batch
-MIN_TXN_OPS: Final = 3  # changes; a job's end is three, and a fence has four times as many
-MAX_SKIPPED_CHANGES: Final = (
-    40  # changes that do not fit a commit, before the rest is left for the next one
-)
-COMMIT_HEADROOM_BYTES: Final = 512  # bytes; kept free below the limits, of small values an eighth
-MAX_COMMIT_BYTES: Final = 64 * 1024  # bytes; a whole commit, from the protocol
-SEGMENT_FILL_RATIO: Final = (
-    0.5  # of a value; a fuller segment is not added to: rewriting costs bytes
-)
-MIN_LOG_SEGMENTS: Final = 24  # segments in use before pages are written to free the oldest
-MIN_LOG_BYTES: Final = 24 * 16 * 1024  # bytes; small segments are kept in larger number
-JOB_RECORD_OVERHEAD_BYTES: Final = 128  # bytes; a job's record beside its submission
-MAX_JOB_ID_CHARS: Final = 100  # characters of a job's id: its keys stay below 200 bytes
-LOG_ENTRY_BASE_BYTES: Final = 64  # bytes; an entry of the log without its operations
+# A job's end is three changes, and a fence has four times as many.
+MIN_TXN_OPS: Final = 3
+# Changes that do not fit a commit before the rest is left for the next commit.
+MAX_SKIPPED_CHANGES: Final = 40
+# Kept free below the size limits; an eighth of the limit for small values.
+COMMIT_HEADROOM_BYTES: Final = 512
+MAX_COMMIT_BYTES: Final = 64 * 1024  # limit of the protocol for a whole commit
+# A log segment filled above this ratio is not appended to: rewriting it costs bytes.
+SEGMENT_FILL_RATIO: Final = 0.5
+# Segments in use before pages are written to free the oldest ones. With small segments the
+# number of bytes decides, so that more of them are kept.
+MIN_LOG_SEGMENTS: Final = 24
+MIN_LOG_BYTES: Final = 24 * 16 * 1024
+JOB_RECORD_OVERHEAD_BYTES: Final = 128  # a job's record beside its submission
+MAX_JOB_ID_CHARS: Final = 100  # keeps the job's keys below 200 bytes
+LOG_ENTRY_BASE_BYTES: Final = 64  # a log entry without its operations
 
-# --- fleet ------------------------------------------------------------------
-COMMITTED_RESPONSE_HOLD_S: Final = (
-    0.8  # s; a report may wait for its room's commit; workers give up at 4 s
-)
-IDLE_RESPONSE_HOLD_S: Final = (
-    2.2  # s; as long for an idle machine; with COMMITTED_RESPONSE_HOLD_S under those 4 s
-)
-# No placing on a machine that missed its reports: they come every report_s plus a quarter.
-SILENCE_REPORT_INTERVALS_RATIO: Final = 2.5  # times report_s; two late reports in a row
-SILENCE_SLACK_S: Final = 0.5  # s; on top of that, for the way
-MIN_LOST_RESPONSES: Final = (
-    3  # answers in a row that a machine did not take, before it counts as deaf
-)
-LOST_RESPONSES_LEASE_RATIO: Final = 0.5  # of a lease, over which a session's answers must have gone
-PROMPT_S: Final = 3.0  # s; an answer held for longer may come too late: workers give up at 4 s
-WORKER_LEASE_MARGIN_S: Final = (
-    2.0  # s; beyond lease_s before a silent machine's tasks count as dead
-)
-SILENT_RELEASE_LEASE_RATIO: Final = 2.5  # times lease_s; a machine silent this long is replaced
-MAX_FAILED_MACHINES_PER_JOB: Final = (
-    2  # machines a job failed on, with no success, before it is held
-)
-MIN_PROVEN_RUN_S: Final = 30.0  # s; a replica that ran so long shows that its service is sound
-MAX_RECORDED_FAILED_MACHINES: Final = (
-    3  # of them written with a page: enough for the next leader's verdict
-)
-# Beyond IDLE_RELEASE_S: one that runs nothing else is returned, and another is rented.
-FAILED_MACHINE_AVOIDANCE_S: Final = (
-    60.0  # s; a job that failed on a machine is tried there again, if nowhere else
-)
-MAX_MACHINE_FAILURES: Final = 2  # failures in a row on one machine before it is replaced
-MIN_JOB_BACKOFF_S: Final = 2.0  # s; first pause of a faulty job, doubles with each failed probe
-MAX_JOB_BACKOFF_S: Final = 60.0  # s; longest such pause: a broken job must not spin
-KILL_GRACE_S: Final = 10.0  # s; time a stopped task with checkpoints may save
+# --- workers and machines -----------------------------------------------------
+# Workers give up on an answer at 4 s. A report's answer may wait this long for the commit of its
+# launches, and for IDLE_RESPONSE_HOLD_S on an idle machine; together that stays below 4 s.
+COMMITTED_RESPONSE_HOLD_S: Final = 0.8
+IDLE_RESPONSE_HOLD_S: Final = 2.2
+# No work is placed on a machine that missed its reports, which come every report_s plus a
+# quarter. The ratio covers two late reports in a row, the slack the transfer.
+SILENCE_REPORT_INTERVALS_RATIO: Final = 2.5
+SILENCE_SLACK_S: Final = 0.5
+# Successive responses that a machine did not receive before it counts as unreachable.
+MIN_LOST_RESPONSES: Final = 3
+# Ratio of a lease over which a session's responses must have been sent for that.
+LOST_RESPONSES_LEASE_RATIO: Final = 0.5
+# A response that was held for longer may arrive too late: workers give up at 4 s.
+PROMPT_S: Final = 3.0
+# Beyond lease_s before the tasks of a silent machine count as dead.
+WORKER_LEASE_MARGIN_S: Final = 2.0
+# A machine that is silent for this many times lease_s is replaced.
+SILENT_RELEASE_LEASE_RATIO: Final = 2.5
+# Machines on which a job failed without any success before the job is held back.
+MAX_FAILED_MACHINES_PER_JOB: Final = 2
+MIN_PROVEN_RUN_S: Final = 30.0  # a replica that ran this long shows that its service works
+# Names of such machines that are written with a page: enough for the next leader's decision.
+MAX_RECORDED_FAILED_MACHINES: Final = 3
+# A job that failed on a machine is not started there again for this long, unless there is no
+# other place.
+FAILED_MACHINE_AVOIDANCE_S: Final = 60.0
+# Failures in a row on one machine before it is replaced. One that runs nothing else is returned,
+# also before IDLE_RELEASE_S, and another one is rented.
+MAX_MACHINE_FAILURES: Final = 2
+# First pause of a failing job, doubled with each failed retry up to the longest pause, so that a
+# broken job does not restart in a tight loop.
+MIN_JOB_BACKOFF_S: Final = 2.0
+MAX_JOB_BACKOFF_S: Final = 60.0
+KILL_GRACE_S: Final = 10.0  # time in which a stopped task with checkpoints may save
 
-# --- rentals ----------------------------------------------------------------
-MACHINE_LIST_INTERVAL_S: Final = 2.0  # s; the list lags by seconds anyway
-MACHINE_TYPES_WAIT_S: Final = (
-    1.5  # s; after an outage, until machine types were read: two pauses and the way
-)
-FLAVORS_READ_INTERVAL_S: Final = 20.0  # s; spot prices move slowly
-CLOUD_REQUEST_TIMEOUT_S: Final = 6.0  # s
-CLOUD_REACHABLE_S: Final = 15.0  # s; the leader asks the cloud every few seconds
-REFUSED_POOL_PAUSE_S: Final = 12.0  # s; a pool that had no capacity is left alone for this long
-IDLE_RELEASE_S: Final = 45.0  # s; an idle machine beyond what is wanted leaves after this
-SUBMISSION_LULL_S: Final = 30.0  # s without any submission, after which idle machines leave sooner
-LULL_IDLE_RELEASE_S: Final = 15.0  # s; how long they are kept then
-BOOT_TIMEOUT_RATIO: Final = 3.0  # times bootS before a machine that never came up is returned
-MIN_BOOT_TIMEOUT_S: Final = 30.0  # s; floor of the same
-NEW_TERM_RENTAL_DELAY_S: Final = (
-    4.0  # s; a new leader rents nothing before its machines had time to report
-)
-NEW_TERM_REPORTED_RATIO: Final = 0.9  # of them, that must have reported for it to rent sooner
-NEW_TERM_FIRST_REPORT_TIMEOUT_S: Final = (
-    20.0  # s; a new leader gives machines so long to report to it
-)
-MIN_BOOTING_RATIO: Final = 0.1  # of the usable machines: fewer that boot are not why work waits
-BOOT_TIME_WEIGHT: Final = (
-    0.2  # weight of one machine's boot time in what its pool's next ones will take
-)
-MAX_BOOT_TIME_RATIO: Final = 5.0  # times bootS; one very late machine must not close its pool
-MIN_BOOT_TIME_S: Final = 1.0  # s; no machine is expected sooner
-LATE_BOOT_RATIO: Final = 1.8  # times its expected boot time: not counted on any more; 1.5 is usual
-MIN_LATE_BOOTS: Final = 3  # late machines of a pool, none newer up, before it is used less
-FAILED_BOOT_RETENTION_S: Final = (
-    240.0  # s; so long a machine that never came speaks against its pool
-)
-MAX_BOOT_PROBES: Final = 2  # machines by which such a pool is tried again
-MAX_RENTED_PER_REQUEST: Final = 50  # machines per request, from the protocol
-MAX_RELEASED_PER_REQUEST: Final = 100  # names per request, from the protocol
-MIN_PREEMPTION_WAIT_S: Final = (
-    4.0  # s; urgent work that waits less gains nothing by stopping others
-)
-EARLY_START_SLACK_RATIO: Final = (
-    0.3  # of its slack, within which more urgent work should have started
-)
-STATUS_LOG_INTERVAL_S: Final = 10.0  # s; between two lines in the log on what runs and what waits
-PREEMPTION_INTERVAL_S: Final = 1.0  # s; looking for room to be made costs more than placing
-MAX_PREEMPTION_LOSS_RATIO: Final = 1.0  # work a stop may lose, over the work that it lets start
-MAX_TASKS_PER_JOB_AND_ROUND: Final = (
-    500  # tasks of one job looked at per round; a round must stay short
-)
-# Below this the order of jobs is worth more than the fetch; 0.13 and 1.0 were met.
-IMAGE_LOCALITY_RATIO: Final = (
-    0.25  # fetch over run time, from which work goes first to where its image is
-)
-IMAGE_LOCALITY_CPU_RATIO: Final = (
-    3.0  # times the CPUs a job needs, that come free where its image is in time
-)
-REPORT_TIME_STEP_S: Final = 2.5  # s; machines that report within one step are as good as each other
-MAX_PARALLEL_FETCH_S: Final = 12.0  # s; a second image is fetched beside another only if faster
-UNUSED_MAXIMUM_HORIZON_S: Final = (
-    60.0  # s; what a maximum leaves is kept only for work that gets room by then
-)
-RETURN_RATIO: Final = 0.1  # of the machines, on which guests' work is stopped in one round
-MAX_RESERVED_MACHINES_RATIO: Final = (
-    0.25  # of the machines, that waiting granted work may keep for itself
-)
-# 10 measured 0.714 over three days with three seeds of ulan-archive, 20 measured 0.694.
-MAX_RENTAL_WAIT_S: Final = 10.0  # s; no task should wait longer for a machine that could be rented
-MAX_PRICE_RATIO: Final = 2.6  # times the cheapest room there could be; dearer pools are left alone
-EXPECTED_RENTAL_DURATION_S: Final = (
-    180.0  # s; about how long a machine serves, to spread the price of its boot
-)
-EXPENSIVE_POOL_WAIT_S: Final = 60.0  # s; work that would wait longer may use dearer pools
-OVERDUE_RATIO: Final = 0.3  # of what an overdue task has run: how long it is expected to go on
-MAX_GUEST_RENTAL_WAIT_S: Final = 30.0  # s; guests' work may wait longer before it is rented for
-MIN_RENTAL_PLAN_INTERVAL_S: Final = 0.4  # s; between two plans of what to rent
-RENTAL_PLAN_PAUSE_RATIO: Final = 5.0  # times what a plan took: at least so long until the next one
-RENTAL_PLAN_STEP_S: Final = 0.5  # s; CPUs that come free within such a step are planned as one
+# --- rentals ------------------------------------------------------------------
+MACHINE_LIST_INTERVAL_S: Final = 2.0  # the list lags by seconds anyway
+# After an outage, until the machine types are read: two pauses and the transfer.
+MACHINE_TYPES_WAIT_S: Final = 1.5
+FLAVORS_READ_INTERVAL_S: Final = 20.0  # spot prices change slowly
+CLOUD_REQUEST_TIMEOUT_S: Final = 6.0
+# The cloud counts as reachable for this long after an answer; the leader asks every few seconds.
+CLOUD_REACHABLE_S: Final = 15.0
+REFUSED_POOL_PAUSE_S: Final = 12.0  # a pool that had no capacity is not asked for this long
+IDLE_RELEASE_S: Final = 45.0  # an idle machine that is not needed is returned after this
+# Without a submission for this long, idle machines are returned after LULL_IDLE_RELEASE_S.
+SUBMISSION_LULL_S: Final = 30.0
+LULL_IDLE_RELEASE_S: Final = 15.0
+# A machine that has not come up after this many times bootS is returned, but not before the
+# minimum.
+BOOT_TIMEOUT_RATIO: Final = 3.0
+MIN_BOOT_TIMEOUT_S: Final = 30.0
+# A new leader rents nothing until its machines had this time to report, or until the ratio
+# below of them has reported.
+NEW_TERM_RENTAL_DELAY_S: Final = 4.0
+NEW_TERM_REPORTED_RATIO: Final = 0.9
+# Time that a new leader gives a machine for its first report.
+NEW_TERM_FIRST_REPORT_TIMEOUT_S: Final = 20.0
+# Booting machines below this ratio of the usable ones are not given as the reason for waiting.
+MIN_BOOTING_RATIO: Final = 0.1
+# Weight of one machine's boot time in the boot time expected for its pool.
+BOOT_TIME_WEIGHT: Final = 0.2
+MAX_BOOT_TIME_RATIO: Final = 5.0  # times bootS; one very late machine must not disable its pool
+MIN_BOOT_TIME_S: Final = 1.0  # no machine is expected sooner
+# A machine is late after this many times its expected boot time; 1.5 is usual.
+LATE_BOOT_RATIO: Final = 1.8
+# Late machines of a pool, with no newer one up, before the pool is used less.
+MIN_LATE_BOOTS: Final = 3
+FAILED_BOOT_RETENTION_S: Final = 240.0  # a machine that never came up counts as late this long
+MAX_BOOT_PROBES: Final = 2  # machines rented at once to try such a pool again
+MAX_RENTED_PER_REQUEST: Final = 50  # machines, limit of the protocol
+MAX_RELEASED_PER_REQUEST: Final = 100  # names, limit of the protocol
+# Urgent work that would wait less than this gains nothing from preempting others.
+MIN_PREEMPTION_WAIT_S: Final = 4.0
+EARLY_START_SLACK_RATIO: Final = 0.3  # of its slack, within which more urgent work should start
+STATUS_LOG_INTERVAL_S: Final = 10.0  # between two log lines on running and waiting work
+PREEMPTION_INTERVAL_S: Final = 1.0  # a search for preemptions costs more than placing
+# Work that a preemption may lose, relative to the work that it lets start.
+MAX_PREEMPTION_LOSS_RATIO: Final = 1.0
+MAX_TASKS_PER_JOB_AND_ROUND: Final = 500  # keeps a round short
+# Image fetch time over run time from which work is placed first where its image is. Below this
+# the order of jobs is worth more than the fetch; ratios of 0.13 and 1.0 occur.
+IMAGE_LOCALITY_RATIO: Final = 0.25
+# Work stays with its image if this many times the CPUs that the job needs become free there in
+# time.
+IMAGE_LOCALITY_CPU_RATIO: Final = 3.0
+REPORT_TIME_STEP_S: Final = 2.5  # machines that report within one step are equally good
+# A second image is fetched beside another one only if that takes less than this.
+MAX_PARALLEL_FETCH_S: Final = 12.0
+# Resources that a team's maximum leaves unused are reserved only for work that fits by then.
+UNUSED_MAXIMUM_HORIZON_S: Final = 60.0
+RETURN_RATIO: Final = 0.1  # of the machines, on which guests' work is preempted in one round
+# Ratio of the machines that waiting work with a guarantee may reserve.
+MAX_RESERVED_MACHINES_RATIO: Final = 0.25
+# No task should wait longer than this for a machine that could be rented. Three days of
+# ulan-archive with three seeds give 0.714 with 10 s and 0.694 with 20 s.
+MAX_RENTAL_WAIT_S: Final = 10.0
+# Pools that cost more than this many times the cheapest possible room are not used.
+MAX_PRICE_RATIO: Final = 2.6
+# Approximate rental time of a machine, over which the price of its boot is spread.
+EXPECTED_RENTAL_DURATION_S: Final = 180.0
+EXPENSIVE_POOL_WAIT_S: Final = 60.0  # work that would wait longer may use more expensive pools
+# An overdue task is expected to run for this ratio of the time that it has run so far.
+OVERDUE_RATIO: Final = 0.3
+MAX_GUEST_RENTAL_WAIT_S: Final = 30.0  # guests' work may wait longer before a machine is rented
+MIN_RENTAL_PLAN_INTERVAL_S: Final = 0.4
+# The pause after a rental plan is at least this many times the plan's computing time.
+RENTAL_PLAN_PAUSE_RATIO: Final = 5.0
+RENTAL_PLAN_STEP_S: Final = 0.5  # CPUs that become free within one step are planned as one
 
-# --- licences ---------------------------------------------------------------
-SEAT_CLAIM_PERIOD_S: Final = (
-    6.0  # s; who has a right to a free seat and no room lets others by so long
-)
-SEAT_STARVATION_WAIT_S: Final = 20.0  # s; work that needs several pools is kept seats after this
+# --- licences -----------------------------------------------------------------
+# Work that has a claim to a free seat but no room to run gives way to others for this long.
+SEAT_CLAIM_PERIOD_S: Final = 6.0
+SEAT_STARVATION_WAIT_S: Final = 20.0  # work that needs several pools has seats reserved after this
 MAX_TASKS_GIVEN_FREED_SEATS: Final = 8  # tasks of a job for which seats are freed at once
-SEAT_SERVER_STEP_INTERVAL_S: Final = (
-    0.25  # s; between two steps of a pool's dealings with its server
-)
-SEAT_LIST_INTERVAL_S: Final = 2.0  # s; between two looks at a server's list
-SEAT_SERVER_STALE_S: Final = 8.0  # s; without an answer for so long a server is out of reach
-SEAT_REQUEST_TIMEOUT_S: Final = 2.0  # s; a server's answer
-MIN_SEAT_RETRY_PAUSE_S: Final = 0.5  # s; first pause after a refusal or failure, doubles
-MAX_SEAT_RETRY_PAUSE_S: Final = 8.0  # s; longest such pause: people give seats back at any time
-SEAT_RENEWAL_RATIO: Final = 0.4  # of a seat's time, after which it is renewed
-SEAT_LEASE_MARGIN_S: Final = 1.0  # s; a seat counts as lost so long before its time is over
-SPARE_SEAT_RETENTION_S: Final = 3.0  # s; a spare seat is kept for work that may come
+SEAT_SERVER_STEP_INTERVAL_S: Final = 0.25  # between two exchanges of a pool with its server
+SEAT_LIST_INTERVAL_S: Final = 2.0  # between two reads of a server's list
+SEAT_SERVER_STALE_S: Final = 8.0  # without an answer for this long a server is unreachable
+SEAT_REQUEST_TIMEOUT_S: Final = 2.0
+# First pause after a refusal or failure, doubled up to the longest pause. That one is short
+# because people return seats at any time.
+MIN_SEAT_RETRY_PAUSE_S: Final = 0.5
+MAX_SEAT_RETRY_PAUSE_S: Final = 8.0
+SEAT_RENEWAL_RATIO: Final = 0.4  # of a seat's lease, after which it is renewed
+SEAT_LEASE_MARGIN_S: Final = 1.0  # a seat counts as lost this long before its lease ends
+SPARE_SEAT_RETENTION_S: Final = 3.0  # a spare seat is kept this long for work that may arrive
 MAX_SEATS_PER_REQUEST: Final = 500  # names in one request; 10 KB of JSON
-MIN_SEAT_LEASE_S: Final = 10.0  # s; a server must keep seats through a change of leader
+MIN_SEAT_LEASE_S: Final = 10.0  # a server must keep seats through a change of leader
 
-# --- peers and intake --------------------------------------------------------
-MAX_NETSTRING_BYTES: Final = 1 << 20  # bytes; the longest message a peer may send
-PEER_REQUEST_TIMEOUT_S: Final = 1.0  # s; an answer over a peer link
-MAX_PEER_STATUS_AGE_S: Final = 3.5  # s; a peer's last status counts this long
-MAX_BODY_BYTES: Final = 64 * 1024  # bytes; from the protocol
-INTAKE_DEADLINE_S: Final = 4.0  # s; users give up at 5 s
-STATUS_QUERY_DEADLINE_S: Final = 1.6  # s; users wait 2 s for a poll
-MAX_CONCURRENT_LOOKUPS: Final = (
-    3  # requests for questions at once: one lost answer must not hold up all
-)
-MAX_PENDING_READS: Final = (
-    64  # keys to be read for questions; more would wait over STATUS_QUERY_DEADLINE_S
-)
-MAX_CACHED_FINAL_STATES: Final = 20_000  # final states kept in memory on each node
-RETRY_AFTER_S: Final = 1  # s; what a user is told when nothing can be decided
-# Parts of the sockets that the platform allows, so that they fit a fleet of any size.
-MIN_SOCKETS: Final = 32  # a controller with fewer can't be told apart from a mistake
-OUTGOING_SOCKETS_RATIO: Final = 0.12  # kept for controllers, state service, cloud; 184 of 1,532
-CROWDED_CONNECTIONS_RATIO: Final = 0.85  # of the rest, above which answers close their connections
-MAX_UNFINISHED_CONNECTIONS_RATIO: Final = (
-    0.7  # of the rest, without a whole request: 943 of 1,348, as a fleet of
-)
-# 890 that comes back at once opens all its connections before the first is read.
-MAX_IDLE_USER_CONNECTIONS_RATIO: Final = (
-    0.3  # of the rest, of users that ask nothing; new ones go elsewhere
-)
-READ_TIMEOUT_S: Final = (
-    10.0  # s; a head and body take at most; users give up at 5 s, workers at 4 s
-)
-MAX_OLD_UNFINISHED_CONNECTIONS: Final = (
-    128  # connections without a whole request that may stay, once not new
-)
-NEW_CONNECTION_GRACE_S: Final = (
-    1.0  # s; so long one is new: a fleet that comes back at once is not cut
-)
-MAX_CONCURRENT_USER_REQUESTS: Final = (
-    256  # users' requests answered at once; twice what a burst of 1 s brings
-)
-SHUTDOWN_GRACE_S: Final = 0.5  # s; answers under way have so long when a server is closed
-CONNECTION_CHECK_INTERVAL_S: Final = 0.5  # s; between two looks at them
-KEEPALIVE_TIMEOUT_S: Final = (
-    120.0  # s; an idle connection is kept; workers report every few seconds
-)
-MAX_STATE_ANSWER_AGE_S: Final = 2.5  # s; without a state answer before /up asks the peers
-MAX_REDIRECT_RETURN_S: Final = 20.0  # s; a worker back within this after a redirect is relayed
-MIN_REDIRECT_RETURN_S: Final = (
-    0.9  # s; one back sooner was never there: workers wait for 1 s, less drift
-)
-RELAY_PERIOD_S: Final = 40.0  # s; so long relayed, a worker tries the leader itself again
-# The longest hold of a relayed report, RELAYED_IDLE_RESPONSE_HOLD_S and two COMMITTED_RESPONSE_HOLD_S, stays below this,
-# and this below the 4 s after which workers give up.
-RELAYED_REPORT_TIMEOUT_S: Final = 3.4  # s; a relayed report's answer
-RELAYED_IDLE_RESPONSE_HOLD_S: Final = (
-    1.2  # s; an idle machine's relayed report is held for this long
-)
-MIN_RETURNED_WORKERS: Final = (
-    3  # workers that came back from the leader, before all are relayed at once
-)
-RETURNED_WORKERS_WINDOW_S: Final = 6.0  # s; within which they came back
+# --- peers and requests -------------------------------------------------------
+MAX_NETSTRING_BYTES: Final = 1 << 20  # the longest message that a peer may send
+PEER_REQUEST_TIMEOUT_S: Final = 1.0  # for an answer over a peer link
+MAX_PEER_STATUS_AGE_S: Final = 3.5  # how long a peer's last status is used
+MAX_BODY_BYTES: Final = 64 * 1024  # limit of the protocol
+INTAKE_DEADLINE_S: Final = 4.0  # users give up at 5 s
+STATUS_QUERY_DEADLINE_S: Final = 1.6  # users wait 2 s for a poll
+# Requests for lookups in flight at once: one lost answer must not delay all others.
+MAX_CONCURRENT_LOOKUPS: Final = 3
+# Keys waiting to be read for queries; more would wait longer than STATUS_QUERY_DEADLINE_S.
+MAX_PENDING_READS: Final = 64
+MAX_CACHED_FINAL_STATES: Final = 20_000  # kept in memory on each controller
+RETRY_AFTER_S: Final = 1  # sent to a user when nothing can be decided
+# Connections are limited to ratios of the sockets that the platform allows, so that the limits
+# fit a fleet of any size.
+MIN_SOCKETS: Final = 32  # a setting below this is taken for a mistake
+# Kept for controllers, state service and cloud; 184 of 1,532.
+OUTGOING_SOCKETS_RATIO: Final = 0.12
+CROWDED_CONNECTIONS_RATIO: Final = 0.85  # of the rest, above which answers close connections
+# Connections without a whole request, of the rest: 943 of 1,348. A fleet of 890 that reconnects at
+# once opens all its connections before the first one is read.
+MAX_UNFINISHED_CONNECTIONS_RATIO: Final = 0.7
+# Of the rest, for idle users' connections; new users are sent to another controller above this.
+MAX_IDLE_USER_CONNECTIONS_RATIO: Final = 0.3
+# For a request's head and body; users give up at 5 s, workers at 4 s.
+READ_TIMEOUT_S: Final = 10.0
+# Connections without a whole request that may stay once they are older than the grace time. A
+# fleet that reconnects at once is not cut within it.
+MAX_OLD_UNFINISHED_CONNECTIONS: Final = 128
+NEW_CONNECTION_GRACE_S: Final = 1.0
+MAX_CONCURRENT_USER_REQUESTS: Final = 256  # twice what a burst of 1 s brings
+SHUTDOWN_GRACE_S: Final = 0.5  # for answers in progress when a server is closed
+CONNECTION_CHECK_INTERVAL_S: Final = 0.5  # between two checks of the connections
+KEEPALIVE_TIMEOUT_S: Final = 120.0  # of idle connections; workers report every few seconds
+# Without an answer of the state service for this long, /up asks the peers.
+MAX_STATE_ANSWER_AGE_S: Final = 2.5
+# A worker that returns within this window after a redirect could not reach the leader and is
+# relayed. One that returns sooner never tried: workers wait for 1 s, less the drift.
+MAX_REDIRECT_RETURN_S: Final = 20.0
+MIN_REDIRECT_RETURN_S: Final = 0.9
+RELAY_PERIOD_S: Final = 40.0  # relayed for this long, a worker tries the leader itself again
+# Above the longest hold of a relayed report, RELAYED_IDLE_RESPONSE_HOLD_S plus twice
+# COMMITTED_RESPONSE_HOLD_S, and below the 4 s after which workers give up.
+RELAYED_REPORT_TIMEOUT_S: Final = 3.4
+RELAYED_IDLE_RESPONSE_HOLD_S: Final = 1.2  # how long an idle machine's relayed report is held
+# Workers that returned from the leader within the window before all workers are relayed at once.
+MIN_RETURNED_WORKERS: Final = 3
+RETURNED_WORKERS_WINDOW_S: Final = 6.0
 
-# --- moves --------------------------------------------------------------------
-MAX_MOVE_TARGETS_PER_TASK: Final = 12  # targets looked at for each resident
-MAX_MOVE_TARGETS: Final = 96  # targets that are looked at in all, the tightest
-MAX_MOVE_CANDIDATE_HOSTS: Final = 24  # hosts whose tasks are looked at, those with most room
-MAX_MOVE_SEARCHED_HOSTS: Final = 8  # machines searched for one large task, the most promising first
-MAX_MOVE_SEARCH_STEPS: Final = 1500  # steps of search for one plan, to bound its time
-MOVE_SEARCH_RETRY_INTERVAL_S: Final = 2.0  # s; between two searches for the same shape of work
-MOVE_SEARCH_INTERVAL_S: Final = 1.0  # s; between two looks for plans
-MIN_MOVE_WAIT_S: Final = 5.0  # s; large work that waits less may fit by itself in a moment
-MAX_CONCURRENT_MOVE_PLANS: Final = 4  # plans carried out at once
-MOVE_PLAN_TIMEOUT_S: Final = 60.0  # s; a plan that takes longer is dropped
-MOVE_TARGET_RESERVATION_S: Final = 30.0  # s; a target is kept for a stopped task so long
-MOVE_DURATION_SLACK_S: Final = (
-    2.0  # s; on top of save, fetch and reports in what a plan should take
-)
-MAX_MOVE_GAIN_S: Final = 600.0  # s; a wait that is longer counts as this long
+# --- moves of running tasks ---------------------------------------------------
+MAX_MOVE_TARGETS_PER_TASK: Final = 12  # target machines tried for each running task
+MAX_MOVE_TARGETS: Final = 96  # target machines tried in all, those with least room first
+MAX_MOVE_CANDIDATE_HOSTS: Final = 24  # hosts whose tasks are considered, those with most room
+MAX_MOVE_SEARCHED_HOSTS: Final = 8  # searched for one large task, the most promising first
+MAX_MOVE_SEARCH_STEPS: Final = 1500  # bounds the time of the search for one plan
+MOVE_SEARCH_RETRY_INTERVAL_S: Final = 2.0  # between two searches for the same shape of work
+MOVE_SEARCH_INTERVAL_S: Final = 1.0  # between two searches for plans
+MIN_MOVE_WAIT_S: Final = 5.0  # large work that waited less may soon fit without a move
+MAX_CONCURRENT_MOVE_PLANS: Final = 4
+MOVE_PLAN_TIMEOUT_S: Final = 60.0  # a plan that takes longer is dropped
+MOVE_TARGET_RESERVATION_S: Final = 30.0  # how long a target is reserved for a stopped task
+# Added to the times for save, fetch and reports in a plan's expected duration.
+MOVE_DURATION_SLACK_S: Final = 2.0
+MAX_MOVE_GAIN_S: Final = 600.0  # a longer wait counts as this long
 
 # --- days of the simulated region ---------------------------------------------
 MAX_DAY_MACHINES: Final = 10_000  # more take more memory and time than one run should
-MAX_DAY_TASKS_PER_JOB: Final = 100_000  # of one job, from the protocol
-MAX_DAY_CLASS_JOBS: Final = 100_000  # of one class
+MAX_DAY_TASKS_PER_JOB: Final = 100_000  # limit of the protocol
+MAX_DAY_CLASS_JOBS: Final = 100_000  # jobs of one class
 MAX_DAY_FAULT_FLAPS: Final = 1000  # ends of one controller in one fault
-FAST_RESTART_RANGE_S: Final = (0.05, 0.5)  # s; a process that ends may be back within this
-SLOW_RESTART_RANGE_S: Final = (1.0, 6.0)  # s; or after this
+# How soon a process that ended is back: range of a fast and of a slow restart.
+FAST_RESTART_RANGE_S: Final = (0.05, 0.5)
+SLOW_RESTART_RANGE_S: Final = (1.0, 6.0)
