--- a/tests/test_settings_and_users.py
+++ b/tests/test_settings_and_users.py
@@ -1,4 +1,7 @@
-"""Settings files, the command line, and the answers to bad input."""
+"""Guards settings files, the command line, log lines and the answers to invalid requests.
+
+Invalid input must be reported with its place and never be accepted or end in a traceback.
+"""
 
 import asyncio
 import logging
@@ -35,6 +38,7 @@
 
 
 def test_good_settings_and_unknown_fields() -> None:
+    """Unknown fields, which a later platform may add, must not be refused."""
     settings = parse_settings(GOOD.encode())
     assert settings.cluster.teams[0].cpus_max == 8.0
 
@@ -68,6 +72,7 @@
 def test_wrong_settings_name_line_field_and_what_was_found(
     old: str, new: str, said: str, tmp_path: Path
 ) -> None:
+    """An error is one line with the file, the line and the field, not a traceback."""
     path = tmp_path / "s.toml"
     path.write_text(GOOD.replace(old, new))
     for words in (["--config", str(path), "--check"], ["serve", "--config", str(path)]):
@@ -78,7 +83,7 @@
 
 
 def test_the_commands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """`--config` alone serves, as platforms call it; wrong usage starts nothing."""
+    """`--config` alone must serve, as platforms call it, and wrong usage must start nothing."""
     path = tmp_path / "s.toml"
     path.write_text(GOOD)
     served: list[str] = []
@@ -98,6 +103,7 @@
 
 
 def test_an_experiment_prints_its_figures(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Both output formats must have all figures, also nested ones."""
     monkeypatch.setattr(licences, "run", lambda seed: {"seats": 3, "off": {"done": seed}})
     result = CliRunner().invoke(main, ["experiment", "licences", "--seed", "7", "--json"])
     assert msgspec.json.decode(result.output) == {"seats": 3, "off": {"done": 7}}
@@ -105,7 +111,8 @@
     assert result.output == "seats: 3\noff.done: 1\n"
 
 
-def test_json_lines_carry_what_a_decision_is_about() -> None:
+def test_json_lines_have_the_fields_of_a_decision() -> None:
+    """A JSON log line without its fields could not be found by job or machine."""
     record = logging.LogRecord("chalkgrade.x", logging.INFO, "f", 1, "%s ends", ("run-1/0",), None)
     for name, value in decision_fields(7, "run-1", "host-2", "run-1/0#3").items():
         setattr(record, name, value)
@@ -123,6 +130,7 @@
 
 
 def test_operator_settings() -> None:
+    """Values of the operators' XML must reach the settings."""
     operator = parse_operator_settings(XML.encode(), {"red"})
     assert operator.nmin == 4
     assert operator.bursts[0].deadline_s == 20.0
@@ -144,12 +152,14 @@
     ],
 )
 def test_wrong_operator_settings_name_the_field(old: str, new: str, named: str) -> None:
+    """An invalid element must be refused with its field and its line."""
     with pytest.raises(SettingsError, match=named) as found:
         parse_operator_settings(XML.replace(old, new).encode(), {"red"})
     assert found.value.line == 1 or "entities" in named
 
 
 def body(**changes: Any) -> bytes:
+    """A submission with changed fields; the value "absent" leaves a field out."""
     world = World(VirtualLoop(), 1)
     world.loop.close()
     spec = world.spec(1) | {"jobclass": "small", "shape": "batch"} | changes
@@ -180,17 +190,22 @@
     ],
 )
 def test_malformed_submissions(data: bytes) -> None:
+    """Each malformed submission must be refused, not fail in the controller."""
     with pytest.raises(SubmissionError):
         parse_submission(data, 16 * 1024)
 
 
 def test_nullable_fields_may_be_omitted_and_unknown_ones_are_ignored() -> None:
+    """Clients may leave out nullable fields, and newer ones may send further fields."""
     data = body(hosttypes="absent", site="absent", dueS="absent", novelty=[1])
     assert parse_submission(data, 16 * 1024).dueS is None
 
 
 def _ask(requests: list[tuple[str, str, bytes]], prepare: Any = None) -> list[int]:
-    """The statuses that a booted cluster gives to some requests."""
+    """The status codes that a started cluster answers to the requests.
+
+    `prepare` may disturb the simulated world before them.
+    """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     world = World(loop, 5)
@@ -214,6 +229,7 @@
 
 
 def test_statuses() -> None:
+    """Clients decide by the status code whether to retry, so each case needs the right one."""
     fits = body(nameId="run-7", owner="red", vcpus=1.0, memoryGb=1.0, hosttypes=None, site=None)
     assert _ask(
         [
@@ -236,7 +252,10 @@
 
 
 def test_without_state_nothing_is_decided() -> None:
-    """An outage: 503 for what would need a fresh read, never 404 or an old answer."""
+    """In an outage of the state service, requests that need a read get 503.
+
+    A 404 or an outdated answer would make a user give up a job that exists.
+    """
     fits = body(nameId="run-7", owner="red", vcpus=1.0, memoryGb=1.0, hosttypes=None, site=None)
     assert _ask(
         [
