--- a/src/chalkgrade/constants.py
+++ b/src/chalkgrade/constants.py
@@ -32,8 +32,8 @@
 LARGEST_LIMIT: Final = 0.5
 # Ratio of the machines reserved for tasks of starved queues that need much of one machine.
 STARVATION_RESERVE_RATIO: Final = 0.05
-# A machine that is being drained for a queue stays selected if it is free at most this much
-# later than the best alternative.
+# A machine selected to be drained for a queue stays selected for this long, as long as it becomes
+# free at most this much later than the best alternative.
 DRAIN_RESELECTION_S: Final = 10.0
 # Ratio of the capacity that is split evenly among all teams in addition to their guarantees.
 EVEN_SHARE_RATIO: Final = 0.25
@@ -86,7 +86,7 @@
 PINGED_FOLLOWERS_PER_ROUND: Final = 1
 # A controller without a sign of life for this long is suspected: two probes and the transfer.
 SUSPICION_TIMEOUT_S: Final = 1.2
-HINTS_INTERVAL_S: Final = 4.0  # between two transmissions of hints, which the record lacks
+HINTS_INTERVAL_S: Final = 4.0  # between two hints on state that is not in the record
 MAX_HINTS_AGE_S: Final = 30.0  # older hints are of no use
 MAX_HINTS_PER_KIND: Final = 1000  # for the kinds that can have many entries
 # Controllers that get hints. 0 turns them off: with 2, the result of a bench day fell by 0.06.
@@ -238,14 +238,14 @@
 # Machines on which a job failed without any success before the job is held back.
 MAX_FAILED_MACHINES_PER_JOB: Final = 2
 MIN_PROVEN_RUN_S: Final = 30.0  # a replica that ran this long shows that its service works
-# Names of such machines that are written with a page: enough for the next leader's decision.
+# Machines on which a job failed that are written with a page: enough for the next leader to decide
+# whether the job is held back.
 MAX_RECORDED_FAILED_MACHINES: Final = 3
-# A job that failed on a machine is not started there again for this long, unless there is no
-# other place.
+# A job that failed on a machine is not started there again for this long. Longer than
+# IDLE_RELEASE_S: if the job fits nowhere else, a machine that runs nothing else is returned
+# meanwhile and another one is rented.
 FAILED_MACHINE_AVOIDANCE_S: Final = 60.0
-# Failures in a row on one machine before it is replaced. One that runs nothing else is returned,
-# also before IDLE_RELEASE_S, and another one is rented.
-MAX_MACHINE_FAILURES: Final = 2
+MAX_MACHINE_FAILURES: Final = 2  # in a row on one machine before it is replaced
 # First pause of a failing job, doubled with each failed retry up to the longest pause, so that a
 # broken job does not restart in a tight loop.
 MIN_JOB_BACKOFF_S: Final = 2.0
@@ -368,7 +368,8 @@
 # Connections without a whole request, of the rest: 943 of 1,348. A fleet of 890 that reconnects at
 # once opens all its connections before the first one is read.
 MAX_UNFINISHED_CONNECTIONS_RATIO: Final = 0.7
-# Of the rest, for idle users' connections; new users are sent to another controller above this.
+# Of the rest, for connections of idle users. Above this the oldest one is closed, so that new
+# connections go to other controllers.
 MAX_IDLE_USER_CONNECTIONS_RATIO: Final = 0.3
 # For a request's head and body; users give up at 5 s, workers at 4 s.
 READ_TIMEOUT_S: Final = 10.0
