--- a/src/chalkgrade/constants.py
+++ b/src/chalkgrade/constants.py
@@ -241,9 +241,9 @@
 # Machines on which a job failed that are written with a page: enough for the next leader to decide
 # whether the job is held back.
 MAX_RECORDED_FAILED_MACHINES: Final = 3
-# A job that failed on a machine is not started there again for this long. Longer than
-# IDLE_RELEASE_S: if the job fits nowhere else, a machine that runs nothing else is returned
-# meanwhile and another one is rented.
+# A machine on which a job failed is the last choice for that job for this long. Longer than
+# IDLE_RELEASE_S, so that a machine that runs nothing else is returned meanwhile and another one
+# is rented.
 FAILED_MACHINE_AVOIDANCE_S: Final = 60.0
 MAX_MACHINE_FAILURES: Final = 2  # in a row on one machine before it is replaced
 # First pause of a failing job, doubled with each failed retry up to the longest pause, so that a
