--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -9,8 +9,8 @@
 from hdrh.histogram import HdrHistogram
 
 from chalkgrade.leading.failures import FailureTracker
-from chalkgrade.licences.needs import Needs
-from chalkgrade.licences.seats import SeatGate, Usable
+from chalkgrade.licences.requirements import SeatRequirements
+from chalkgrade.licences.seat_constraint import SeatConstraint, UsableSeats
 from chalkgrade.licences.settings import LicenceNeed, LicencePool, LicenceSettings
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report
@@ -191,8 +191,8 @@
     flavors = {"big": Flavor("big", float(CPUS), 64.0, ["a", "b"])}
     fleet, queues = Fleet(clock, 1, 12.0, 3.0), Queues(settings, clock, flavors)
     log, jobs = OpLog(16 * 1024), dict[str, Job]()
-    table = Needs(licences)
-    gates = [SeatGate(table, queues, lambda p: Usable(POOL_SEATS))] if on else []
+    table = SeatRequirements(licences)
+    gates = [SeatConstraint(table, queues, lambda p: UsableSeats(POOL_SEATS))] if on else []
     faults = FailureTracker(1, clock)
     for number in range(TASKS // JOB_TASKS):
         spec = JobSpec(
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -14,8 +14,15 @@
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report
 from chalkgrade.moves import part
-from chalkgrade.moves.optimum import optimum
-from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan, plan_many
+from chalkgrade.moves.integer_program import optimal_move_cost
+from chalkgrade.moves.planner import (
+    MachineState,
+    MovableTask,
+    PlacementProblem,
+    Plan,
+    find_plan,
+    find_plans,
+)
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
@@ -43,7 +50,7 @@
         self.waits: dict[str, float] = {}  # large job -> s until it starts
         self.ends: dict[str, float] = {}  # small job -> s until it is done
         self.asked: dict[str, float] = {}
-        self.problems: list[tuple[Problem, Plan | None]] = []
+        self.problems: list[tuple[PlacementProblem, Plan | None]] = []
         self.took = HdrHistogram(1, 10_000_000, 3)  # us of processor time a plan
         self.moved, self.outcomes = 0, dict[str, int]()
         self.twice = 0  # tasks that started on one machine while present on another
@@ -161,30 +168,30 @@
         close_plan(self, record, outcome)
         world.outcomes[outcome] = world.outcomes.get(outcome, 0) + 1
 
-    def recorded(problem: Problem, count: int) -> list[Plan]:
+    def recorded(problem: PlacementProblem, count: int) -> list[Plan]:
         began = time.process_time()
-        found = plan_many(problem, count)
+        found = find_plans(problem, count)
         world.took.record_value(max(1, int(1e6 * (time.process_time() - began))))
         if count == 1:
             world.problems.append((problem, found[0] if found else None))
         return found
 
-    for name, wrapped in (("_adopt", adopted), ("_close", closed), ("find", recorded)):
-        setattr(part.Moves, name, staticmethod(wrapped) if name == "find" else wrapped)
+    for name, wrapped in (("_adopt", adopted), ("_close", closed), ("planner", recorded)):
+        setattr(part.Moves, name, staticmethod(wrapped) if name == "planner" else wrapped)
     try:
         loop.run_until_complete(_day(world, faults))
     finally:
-        for name, plain in (("_adopt", adopt), ("_close", close_plan), ("find", plan_many)):
-            setattr(part.Moves, name, staticmethod(plain) if name == "find" else plain)
+        for name, plain in (("_adopt", adopt), ("_close", close_plan), ("planner", find_plans)):
+            setattr(part.Moves, name, staticmethod(plain) if name == "planner" else plain)
         close(world)
     return world
 
 
-def gaps(problems: list[tuple[Problem, Plan | None]]) -> list[float]:
+def gaps(problems: list[tuple[PlacementProblem, Plan | None]]) -> list[float]:
     """How far each plan's cost is above the least there is, as a part of it."""
     out = []
     for problem, found in problems:
-        best = optimum(problem)
+        best = optimal_move_cost(problem)
         if best is None:
             continue
         if found is None:
@@ -230,14 +237,14 @@
     }
 
 
-def state(machines: int, seed: int) -> Problem:
+def state(machines: int, seed: int) -> PlacementProblem:
     """A recorded-like state of that size: 16-CPU machines full of tasks of one to four CPUs."""
     rng = random.Random(seed)
     places = []
     pools = frozenset({("big", "a", True), ("big", "b", True)})
     for number in range(machines):
         free: tuple[float, ...] = (16.0, 0.0, 64.0)
-        residents: list[Resident] = []
+        residents: list[MovableTask] = []
         for index in range(16):
             cpus = rng.choice([1.0, 1.0, 1.0, 2.0, 4.0])
             room = (cpus, 0.0, cpus * rng.choice([1.0, 2.0, 3.0]))
@@ -249,15 +256,15 @@
                 loss = rng.uniform(1.0, 12.0) * cpus
                 image, size = f"img-{rng.randrange(8)}", rng.uniform(0.5, 2.0)
                 name = f"run-{number}/{index}"
-                residents.append(Resident(name, 1, room, loss, image, size, pools))
+                residents.append(MovableTask(name, 1, room, loss, image, size, pools))
         if free[0] >= 8.0:  # something that stays takes the rest: nowhere fits all of it
             free = (float(rng.randrange(8)), *free[1:])
         images = frozenset(f"img-{n}" for n in range(8) if rng.random() < 0.4)
         pool = ("big", "ab"[number % 2], True)
         places.append(
-            Place(f"m{number}", pool, (16.0, 0.0, 64.0), free, images, 0.3, tuple(residents))
+            MachineState(f"m{number}", pool, (16.0, 0.0, 64.0), free, images, 0.3, tuple(residents))
         )
-    return Problem((8.0, 0.0, 20.0), pools, tuple(places))
+    return PlacementProblem((8.0, 0.0, 20.0), pools, tuple(places))
 
 
 def plan_ms(machines: int, states: int = 10) -> float:
@@ -266,7 +273,7 @@
     for seed in range(states):
         problem = state(machines, seed)
         began = time.process_time()
-        plan(problem)
+        find_plan(problem)
         took += time.process_time() - began
     return round(1000 * took / states, 2)
 
@@ -317,9 +324,9 @@
         clock.at += constants.MOVE_RETRY_S
         for machine in fleet.machines.values():
             machine.reported_at = clock.at
-        moves.gate.begin_round(jobs.values(), clock.at)
+        moves.constraint.begin_round(jobs.values(), clock.at)
         began = time.process_time()
-        moves._look()
+        moves._plan_next_job()
         took, looks = took + time.process_time() - began, looks + 1
         if len(moves.value.plans) >= constants.MOVE_PLANS:
             break
@@ -339,7 +346,7 @@
     distances = sorted(
         found.cost / best - 1.0
         for problem in (state(16, number) for number in range(20))
-        if (found := plan(problem)) is not None and (best := optimum(problem))
+        if (found := find_plan(problem)) is not None and (best := optimal_move_cost(problem))
     )
     out["gap_from_optimum_p95"] = round(distances[int(0.95 * (len(distances) - 1))], 4)
     return out
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -13,8 +13,8 @@
 from chalkgrade.machines.flavors import Flavor
 from chalkgrade.machines.fleet import Fleet, Report, TaskReport
 from chalkgrade.pipelines.graph import Graph
-from chalkgrade.pipelines.optimum import Stage, optimum
-from chalkgrade.pipelines.slack import inherit
+from chalkgrade.pipelines.integer_program import Stage, optimal_outcome
+from chalkgrade.pipelines.slack import propagate_requirements
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.loop import HandClock
@@ -106,14 +106,14 @@
                 ends[int(name[4:])] = step
                 over[name] = "done"
                 del jobs[name]
-                graph.left(job)
-                graph.settle(name, "done", clock.wall())
+                graph.remove_ended_job(job)
+                graph.job_ended(name, "done", clock.wall())
         for number in range(MACHINES):
             name = f"host-{number}"
             known = fleet.machines.get(name)
             tasks = [TaskReport(t, n) for t, n in (known.attempts if known is not None else {})]
             fleet.accept_report(Report(name, 1, step + 1, 1, "quad", "a", tasks=tasks))
-        inherit(graph, queues.due_times, lambda job: queues.expected_run_s(job))
+        propagate_requirements(graph, queues.due_times, lambda job: queues.expected_run_s(job))
         named = {team.name: team for team in teams}
         SchedulingRound(jobs, fleet, named, flavors, queues, clock, preempt=False).run()
         for job in jobs.values():
@@ -147,7 +147,7 @@
         job.block()
     else:
         queues.observe_submission(job)
-    graph.enter(job, clock.wall())
+    graph.add_job(job, clock.wall())
 
 
 def run(seed: int, cases: int = 10) -> dict[str, Any]:
@@ -157,7 +157,7 @@
     for number in range(cases):
         case = Case(seed * 1000 + number)
         try:
-            best = optimum(case.stages, MACHINES * CPUS, HORIZON, SOLVE_S)
+            best = optimal_outcome(case.stages, MACHINES * CPUS, HORIZON, SOLVE_S)
         except RuntimeError:
             continue
         solved += 1
--- a/src/chalkgrade/leading/term.py
+++ b/src/chalkgrade/leading/term.py
@@ -72,7 +72,7 @@
             context, self.registry, self.fleet, self.queues, flavors, self.is_serving
         )
         self.renter = Renter(term_context, cloud, self._on_attempt_lost, self._max_demand)
-        self.renter.coming = lambda: self.pipelines.graph.coming(
+        self.renter.coming = lambda: self.pipelines.graph.ready_within(
             self.queues.remaining_makespan_s, constants.COMING_S
         )
         self.scheduling = RoundScheduler(term_context, self._expire_leases, self.renter.refused)
@@ -207,7 +207,7 @@
         if job is not None and job.aborted:
             return JobStatusReport(job.status())  # no open commit can change that
         if job is not None:
-            if not self.pipelines.sure(job):
+            if not self.pipelines.is_cancellation_known(job):
                 raise Unavailable  # it may be cancelled already
             return JobStatusReport(job.status(), keys)
         if name in self.registry.admissions:
--- a/src/chalkgrade/licences/stock.py
+++ b/src/chalkgrade/licences/checkouts.py
@@ -16,36 +16,36 @@
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.licences.needs import Needs
-from chalkgrade.licences.seats import Usable
+from chalkgrade.licences.requirements import SeatRequirements
+from chalkgrade.licences.seat_constraint import UsableSeats
 from chalkgrade.licences.settings import LicencePool
 from chalkgrade.outside import Bucket, Clock, Http, NoAnswer, decode, encode
 
 log = logging.getLogger("chalkgrade.licences")
 
 
-class Held(msgspec.Struct):
+class HeldSeat(msgspec.Struct):
     """One seat that somebody holds."""
 
     holder: str
     name: str
 
 
-class Status(msgspec.Struct):
+class PoolStatus(msgspec.Struct):
     """GET /pools/POOL."""
 
     seats: int
-    held: list[Held] = []
+    held: list[HeldSeat] = []
 
 
-class Granted(msgspec.Struct):
+class SeatGrant(msgspec.Struct):
     """The answer to a checkout or a renewal: the names that are held, for how long."""
 
     names: list[str]
     ttlS: float
 
 
-class PoolStock:
+class PoolCheckouts:
     """Our seats of one pool of a server."""
 
     def __init__(
@@ -62,26 +62,26 @@
         self.http = http
         self.clock = clock
         self.rng = rng
-        self.wanted = wanted  # seats that our tasks use or would use now
+        self.wanted_seats = wanted  # seats that our tasks use or would use now
         self.budget = Bucket(clock, pool.rps, pool.rps)
-        self.sure: dict[str, float] = {}  # name -> until when it is surely ours
-        self.asked: dict[str, None] = {}  # names whose checkout may have been executed
+        self.confirmed_until: dict[str, float] = {}  # name -> until when it is surely ours
+        self.unconfirmed: dict[str, None] = {}  # names whose checkout may have been executed
         self.surplus_since: float | None = None
-        self.number = 0
-        self.seats = 0  # by the server's last word
-        self.foreign = 0  # held by others
-        self.told_at = -1e9  # when the server last gave a usable answer
-        self.read_at = -1e9
-        self.pause = 0.0  # after a failure or refusal; grows
-        self.next_at = 0.0
-        self.counts: dict[str, int] = {}
-
-    def usable(self) -> Usable:
+        self.last_number = 0
+        self.total_seats = 0  # by the server's last word
+        self.foreign_seats = 0  # held by others
+        self.answered_at = -1e9  # when the server last gave a usable answer
+        self.status_read_at = -1e9
+        self.retry_delay_s = 0.0  # after a failure or refusal; grows
+        self.next_step_at = 0.0
+        self.response_counts: dict[str, int] = {}
+
+    def usable_seats(self) -> UsableSeats:
         now = self.clock.now()
-        mine = sum(until > now for until in self.sure.values())
-        return Usable(mine, now - self.told_at < constants.SEAT_STALE_S)
+        mine = sum(until > now for until in self.confirmed_until.values())
+        return UsableSeats(mine, now - self.answered_at < constants.SEAT_STALE_S)
 
-    async def _call(self, what: str, names: list[str] | None) -> bytes:
+    async def _request(self, what: str, names: list[str] | None) -> bytes:
         """One request; NoAnswer for anything but a usable answer, and for a refusal, too."""
         await self.budget.wait()
         path = f"/pools/{self.pool.name}" + (f"/{what}" if what else "")
@@ -91,7 +91,7 @@
         method = "GET" if names is None else "POST"
         reply = await self.http.call(self.pool.server, method, path, body, constants.SEAT_TIMEOUT_S)
         kind = f"{what or 'status'} {reply.status}"
-        self.counts[kind] = self.counts.get(kind, 0) + 1
+        self.response_counts[kind] = self.response_counts.get(kind, 0) + 1
         if reply.status != 200:
             raise NoAnswer(f"{self.pool.name}: {kind}")
         return reply.body
@@ -99,111 +99,120 @@
     async def run(self) -> None:
         """Bring what is held to what is wanted, for ever."""
         while True:
-            await asyncio.sleep(max(constants.SEAT_STEP_S, self.next_at - self.clock.now()))
+            await asyncio.sleep(max(constants.SEAT_STEP_S, self.next_step_at - self.clock.now()))
             try:
                 await self.step()
-                self.pause = 0.0
+                self.retry_delay_s = 0.0
             except NoAnswer as error:
                 log.info("licence server: %s", error)
                 self.backoff()
 
     def backoff(self) -> None:
         """Come back later each time, not all at once."""
-        self.pause = min(constants.SEAT_PAUSE_MAX_S, max(constants.SEAT_PAUSE_S, 2 * self.pause))
-        self.next_at = self.clock.now() + self.pause * self.rng.uniform(0.5, 1.0)
+        self.retry_delay_s = min(
+            constants.SEAT_PAUSE_MAX_S, max(constants.SEAT_PAUSE_S, 2 * self.retry_delay_s)
+        )
+        self.next_step_at = self.clock.now() + self.retry_delay_s * self.rng.uniform(0.5, 1.0)
 
     async def step(self) -> None:
         """Read, renew, check out or return: whatever is due."""
         now = self.clock.now()
-        if now - self.read_at >= constants.SEAT_READ_S:
-            await self._read()
-        for name in [name for name, until in self.sure.items() if until <= now]:
-            del self.sure[name]
-            self.asked[name] = None  # ours no more for sure; the server may still think so
-        due = [n for n, until in self.sure.items() if until - now < self._renew_s()]
-        due = list(dict.fromkeys([*due, *self.asked]))
-        want = self.wanted(self.pool.name)
-        spare = len(self.sure) - want
+        if now - self.status_read_at >= constants.SEAT_READ_S:
+            await self._read_status()
+        for name in [name for name, until in self.confirmed_until.items() if until <= now]:
+            del self.confirmed_until[name]
+            self.unconfirmed[name] = None  # ours no more for sure; the server may still think so
+        due = [
+            n for n, until in self.confirmed_until.items() if until - now < self._renew_before_s()
+        ]
+        due = list(dict.fromkeys([*due, *self.unconfirmed]))
+        want = self.wanted_seats(self.pool.name)
+        spare = len(self.confirmed_until) - want
         if spare > 0:
-            await self._spare(now, spare)
-            due = [name for name in due if name in self.sure]
+            await self._return_surplus(now, spare)
+            due = [name for name in due if name in self.confirmed_until]
         else:
             self.surplus_since = None
         if due:
             await self._renew(due)
-        lacking = min(want - len(self.sure), max(1, self.seats - self.foreign - len(self.sure)))
-        if want > len(self.sure) and lacking > 0:
+        lacking = min(
+            want - len(self.confirmed_until),
+            max(1, self.total_seats - self.foreign_seats - len(self.confirmed_until)),
+        )
+        if want > len(self.confirmed_until) and lacking > 0:
             await self._check_out(min(lacking, constants.SEAT_BATCH))
 
-    def _renew_s(self) -> float:
+    def _renew_before_s(self) -> float:
         return self.pool.timeout_s * (1 - constants.SEAT_RENEW_PART)
 
-    async def _read(self) -> None:
+    async def _read_status(self) -> None:
         """What the server says: names of ours that an earlier leader held are taken over."""
-        status = decode(await self._call("", None), Status)
-        self.read_at = self.told_at = self.clock.now()
-        self.seats = status.seats
+        status = decode(await self._request("", None), PoolStatus)
+        self.status_read_at = self.answered_at = self.clock.now()
+        self.total_seats = status.seats
         ours = {held.name for held in status.held if held.holder == self.pool.holder}
-        self.foreign = len(status.held) - len(ours)
+        self.foreign_seats = len(status.held) - len(ours)
         # What the list has and we have not, or the other way round, is settled by a renewal
         # at once: a list may lag, but a server that restarted must be noticed soon.
-        for name in ours ^ self.sure.keys():
-            self.asked[name] = None
+        for name in ours ^ self.confirmed_until.keys():
+            self.unconfirmed[name] = None
 
-    async def _granted(self, what: str, names: list[str]) -> set[str]:
+    async def _request_grant(self, what: str, names: list[str]) -> set[str]:
         sent = self.clock.now()
-        answer = decode(await self._call(what, names), Granted)
-        self.told_at = self.clock.now()
+        answer = decode(await self._request(what, names), SeatGrant)
+        self.answered_at = self.clock.now()
         found = set(answer.names) & set(names)
         until = sent + answer.ttlS * (1 - constants.CLOCK_DRIFT) - constants.SEAT_MARGIN_S
         for name in found:
-            self.sure[name] = until
-            self.asked.pop(name, None)
+            self.confirmed_until[name] = until
+            self.unconfirmed.pop(name, None)
         return found
 
     async def _renew(self, names: list[str]) -> None:
         """What is not renewed is lost: the server restarted, or freed it after its timeout."""
         names = names[: constants.SEAT_BATCH]
-        found = await self._granted("renew", names)
+        found = await self._request_grant("renew", names)
         for name in set(names) - found:
-            self.sure.pop(name, None)
-            self.asked.pop(name, None)
+            self.confirmed_until.pop(name, None)
+            self.unconfirmed.pop(name, None)
 
     async def _check_out(self, count: int) -> None:
-        names = [f"{self.token}-{self.number + n}" for n in range(1, count + 1)]
-        self.number += count
-        self.asked |= dict.fromkeys(names)
-        found = await self._granted("checkout", names)
+        names = [f"{self.token}-{self.last_number + n}" for n in range(1, count + 1)]
+        self.last_number += count
+        self.unconfirmed |= dict.fromkeys(names)
+        found = await self._request_grant("checkout", names)
         for name in set(names) - found:
-            self.asked.pop(name, None)  # refused: somebody else was first
+            self.unconfirmed.pop(name, None)  # refused: somebody else was first
         if len(found) < count:
             self.backoff()
 
-    async def _spare(self, now: float, spare: int) -> None:
+    async def _return_surplus(self, now: float, spare: int) -> None:
         """Return what nothing asks for, after a moment: work may follow work."""
         self.surplus_since = now if self.surplus_since is None else self.surplus_since
         if now - self.surplus_since < constants.SEAT_KEEP_S:
             return
-        names = list(self.sure)[-spare:][: constants.SEAT_BATCH]
+        names = list(self.confirmed_until)[-spare:][: constants.SEAT_BATCH]
         for name in names:
-            del self.sure[name]  # not ours from before the request on, whatever comes of it
-            self.asked[name] = None
-        await self._call("return", names)
+            del self.confirmed_until[
+                name
+            ]  # not ours from before the request on, whatever comes of it
+            self.unconfirmed[name] = None
+        await self._request("return", names)
         for name in names:
-            self.asked.pop(name, None)
+            self.unconfirmed.pop(name, None)
 
 
-def stocks(
-    needs: Needs,
+def create_checkouts(
+    needs: SeatRequirements,
     token: int,
     http: Http,
     clock: Clock,
     rng: random.Random,
     wanted: Callable[[str], int],
-) -> dict[str, PoolStock]:
+) -> dict[str, PoolCheckouts]:
     """One for each pool that has a server."""
     return {
-        name: PoolStock(pool, token, http, clock, rng, wanted)
+        name: PoolCheckouts(pool, token, http, clock, rng, wanted)
         for name, pool in needs.pools.items()
         if pool.server
     }
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Iterable
 
 from chalkgrade.extensions.components import Component, Sample, labelled_sample
-from chalkgrade.licences.needs import Needs
-from chalkgrade.licences.seats import SeatGate, Usable
+from chalkgrade.licences.checkouts import create_checkouts
+from chalkgrade.licences.requirements import SeatRequirements
+from chalkgrade.licences.seat_constraint import SeatConstraint, UsableSeats
 from chalkgrade.licences.settings import LicenceSettings
-from chalkgrade.licences.stock import stocks
 from chalkgrade.outside import Http
 from chalkgrade.record.jobs import JobSpec
 from chalkgrade.renting.joint import Joint
@@ -21,32 +21,41 @@
     def __init__(
         self, office: LeaderContext, queues: Queues, settings: LicenceSettings, http: Http
     ) -> None:
-        self.needs = Needs(settings)
-        self.gate = SeatGate(self.needs, queues, self.usable)
-        self.start_constraints = [self.gate]
+        self.requirements = SeatRequirements(settings)
+        self.constraint = SeatConstraint(self.requirements, queues, self.usable_seats)
+        self.start_constraints = [self.constraint]
         rng = random.Random(office.token)
-        self.stocks = stocks(self.needs, office.token, http, office.clock, rng, self.wanted)
-        self.decision_loops = [stock.run for stock in self.stocks.values()]
+        self.checkouts = create_checkouts(
+            self.requirements, office.token, http, office.clock, rng, self.wanted_seats
+        )
+        self.decision_loops = [stock.run for stock in self.checkouts.values()]
 
-    def usable(self, pool: str) -> Usable:
+    def usable_seats(self, pool: str) -> UsableSeats:
         """Without a server we alone count, and all seats are ours."""
-        stock = self.stocks.get(pool)
-        return stock.usable() if stock is not None else Usable(self.needs.pools[pool].seats)
+        stock = self.checkouts.get(pool)
+        return (
+            stock.usable_seats()
+            if stock is not None
+            else UsableSeats(self.requirements.pools[pool].seats)
+        )
 
-    def wanted(self, pool: str) -> int:
+    def wanted_seats(self, pool: str) -> int:
         """Seats that tasks use or would use now, as of the last round."""
-        most = self.needs.pools[pool].seats
-        return min(most, self.gate.used[pool] + self.gate.waiting[pool])
+        most = self.requirements.pools[pool].seats
+        return min(most, self.constraint.used[pool] + self.constraint.waiting[pool])
 
     def samples(self) -> Iterable[Sample]:
-        pools = self.needs.pools
-        usable = {pool: self.usable(pool) for pool in pools}
+        pools = self.requirements.pools
+        usable = {pool: self.usable_seats(pool) for pool in pools}
         figures = {
             "seats": ("Seats of a pool, by the settings", {p: pools[p].seats for p in pools}),
             "held": ("Seats that our tasks may use now", {p: usable[p].seats for p in pools}),
-            "used": ("Seats of attempts that may be present", self.gate.used),
-            "waiting": ("Seats that waiting tasks ask for", self.gate.waiting),
-            "foreign": ("Seats held by others", {p: s.foreign for p, s in self.stocks.items()}),
+            "used": ("Seats of attempts that may be present", self.constraint.used),
+            "waiting": ("Seats that waiting tasks ask for", self.constraint.waiting),
+            "foreign": (
+                "Seats held by others",
+                {p: s.foreign_seats for p, s in self.checkouts.items()},
+            ),
         }
         for name, (text, values) in figures.items():
             yield labelled_sample(f"licence_{name}", text, "pool", values, counter=False)
@@ -62,4 +71,4 @@
 
 def refusal(own: LicenceSettings) -> Callable[[JobSpec], str | None]:
     """Submissions that need more seats than there are can never run."""
-    return Needs(own).refusal
+    return SeatRequirements(own).rejection_reason
--- a/src/chalkgrade/licences/needs.py
+++ b/src/chalkgrade/licences/requirements.py
@@ -3,10 +3,10 @@
 from chalkgrade.licences.settings import LicenceSettings
 from chalkgrade.record.jobs import JobSpec
 
-Seats = tuple[tuple[str, int], ...]  # pool and seats a task, by pool's name
+PoolSeats = tuple[tuple[str, int], ...]  # pool and seats a task, by pool's name
 
 
-class Needs:
+class SeatRequirements:
     """The operators' table, and what a submission names itself.
 
     What a submission names goes before the table, pool by pool: the table's row for
@@ -16,22 +16,22 @@
     def __init__(self, settings: LicenceSettings) -> None:
         self.pools = {pool.name: pool for pool in settings.pools}
         self._rows = settings.needs
-        self._known: dict[tuple[str, str], Seats] = {}
+        self._cache: dict[tuple[str, str], PoolSeats] = {}
 
-    def _table(self, owner: str, jobclass: str) -> Seats:
+    def _configured_seats(self, owner: str, jobclass: str) -> PoolSeats:
         key = (owner, jobclass)
-        known = self._known.get(key)
+        known = self._cache.get(key)
         if known is None:
             found: dict[str, int] = {}
             for row in self._rows:
                 if row.jobclass in ("", jobclass) and row.team in ("", owner):
                     found[row.pool] = max(row.seats, found.get(row.pool, 0))
-            known = self._known[key] = tuple(sorted(found.items()))
+            known = self._cache[key] = tuple(sorted(found.items()))
         return known
 
-    def of(self, spec: JobSpec) -> Seats:
+    def seats_per_task(self, spec: JobSpec) -> PoolSeats:
         """What one task of it needs; pools that a submission names and nobody knows left out."""
-        table = self._table(spec.owner, spec.jobclass)
+        table = self._configured_seats(spec.owner, spec.jobclass)
         if not spec.licences:
             return table
         found = dict(table)
@@ -40,13 +40,13 @@
                 found[pool] = max(seats, found.get(pool, 0))
         return tuple(sorted(found.items()))
 
-    def refusal(self, spec: JobSpec) -> str | None:
+    def rejection_reason(self, spec: JobSpec) -> str | None:
         """Why a job can never have its seats, or None."""
         for pool in spec.licences or ():
             if pool not in self.pools:
                 return f"licences: unknown pool {pool!r}"
         tasks = spec.tasks if spec.shape != "batch" else 1  # the others run one by one
-        for pool, seats in self.of(spec):
+        for pool, seats in self.seats_per_task(spec):
             if seats * tasks > self.pools[pool].seats:
                 most = self.pools[pool].seats
                 return f"licences: {seats * tasks} seats of {pool!r} at once, it has {most}"
--- a/src/chalkgrade/licences/settings.py
+++ b/src/chalkgrade/licences/settings.py
@@ -7,9 +7,9 @@
 from chalkgrade import constants
 from chalkgrade.settings import Settings, SettingsError, number, read_xml, split_addr
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
-POOL = ("name", "seats", "server", "holder", "timeout_s", "rps")
-NEED = ("pool", "class", "team", "seats")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
+POOL_ATTRIBUTES = ("name", "seats", "server", "holder", "timeout_s", "rps")
+NEED_ATTRIBUTES = ("pool", "class", "team", "seats")
 SEATS_MAX = 1_000_000
 
 
@@ -53,9 +53,9 @@
         found = dict(node.attrib)
         try:
             if node.tag == "pool":
-                out.pools.append(_pool(found, {pool.name for pool in out.pools}))
+                out.pools.append(_parse_pool(found, {pool.name for pool in out.pools}))
             elif node.tag == "need":
-                out.needs.append(_need(found, {pool.name for pool in out.pools}))
+                out.needs.append(_parse_need(found, {pool.name for pool in out.pools}))
             else:
                 raise SettingsError(f"unknown <{node.tag}>, known are need, pool")
         except SettingsError as error:
@@ -63,30 +63,33 @@
     return out
 
 
-def _only(tag: str, found: dict[str, str], known: tuple[str, ...]) -> None:
+def _check_attributes(tag: str, found: dict[str, str], known: tuple[str, ...]) -> None:
     unknown = sorted(set(found) - set(known))
     if unknown:
         raise SettingsError(f"{tag}: unknown {unknown[0]!r}, known are {', '.join(known)}")
 
 
-def _seats(field: str, text: str | None) -> int:
+def _parse_seats(field: str, text: str | None) -> int:
     value = number(field, text, 1, SEATS_MAX)
     if value != int(value):
         raise SettingsError(f"{field}: must be a whole number, is {value:g}")
     return int(value)
 
 
-def _pool(found: dict[str, str], names: set[str]) -> LicencePool:
-    _only("pool", found, POOL)
+def _parse_pool(found: dict[str, str], names: set[str]) -> LicencePool:
+    _check_attributes("pool", found, POOL_ATTRIBUTES)
     name = found.get("name", "")
-    if not NAME.match(name) or name in names:
+    if not NAME_PATTERN.match(name) or name in names:
         raise SettingsError(f"pool.name: {name!r} is not a name, or appears twice")
-    values: dict[str, object] = {"name": name, "seats": _seats("pool.seats", found.get("seats"))}
+    values: dict[str, object] = {
+        "name": name,
+        "seats": _parse_seats("pool.seats", found.get("seats")),
+    }
     if "server" in found:
         split_addr(found["server"], "pool.server")
         values["server"] = found["server"]
     if "holder" in found:
-        if not NAME.match(found["holder"]):
+        if not NAME_PATTERN.match(found["holder"]):
             raise SettingsError(f"pool.holder: {found['holder']!r} is not a name")
         values["holder"] = found["holder"]
     for field, low in (("timeout_s", constants.SEAT_TIMEOUT_MIN_S), ("rps", 0.5)):
@@ -95,12 +98,12 @@
     return msgspec.convert(values, LicencePool)
 
 
-def _need(found: dict[str, str], names: set[str]) -> LicenceNeed:
-    _only("need", found, NEED)
+def _parse_need(found: dict[str, str], names: set[str]) -> LicenceNeed:
+    _check_attributes("need", found, NEED_ATTRIBUTES)
     pool, jobclass, team = (found.get(key, "") for key in ("pool", "class", "team"))
     if pool not in names:
         known = ", ".join(sorted(names)) or "none"
         raise SettingsError(f"need.pool: no pool {pool!r} before it, there are {known}")
     if not (jobclass or team):
         raise SettingsError("need: a class or a team must be named")
-    return LicenceNeed(pool, jobclass, team, _seats("need.seats", found.get("seats", "1")))
+    return LicenceNeed(pool, jobclass, team, _parse_seats("need.seats", found.get("seats", "1")))
--- a/src/chalkgrade/moves/optimum.py
+++ b/src/chalkgrade/moves/integer_program.py
@@ -4,11 +4,16 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 from scipy.sparse import lil_matrix
 
-from chalkgrade.moves.plan import Problem, arrival, lacking, may_go
+from chalkgrade.moves.planner import (
+    PlacementProblem,
+    image_fetch_cost,
+    is_target_allowed,
+    missing_resources,
+)
 from chalkgrade.vectors import fits
 
 
-def optimum(problem: Problem) -> float | None:
+def optimal_move_cost(problem: PlacementProblem) -> float | None:
     """The least cost in CPU-seconds, None where there is no plan; solved by HiGHS.
 
     One host is chosen; a resident leaves only the host; targets keep room for all that
@@ -25,14 +30,15 @@
         for number, host in enumerate(hosts)
         for resident in host.residents
         for target in problem.places
-        if target.name != host.name and may_go(resident, target, target.free, problem.others)
+        if target.name != host.name
+        and is_target_allowed(resident, target, target.free, problem.others)
     ]
     if not hosts or not pairs:
         return None
     width = len(hosts) + len(pairs)
     cost = np.zeros(width)
     for column, (_, resident, target) in enumerate(pairs, len(hosts)):
-        cost[column] = resident.loss + arrival(resident, target)
+        cost[column] = resident.loss + image_fetch_cost(resident, target)
     rows: list[tuple[dict[int, float], float, float]] = [
         ({number: 1.0 for number in range(len(hosts))}, 1.0, 1.0)
     ]
@@ -50,7 +56,7 @@
         for kind in range(3):
             rows.append(({c: room[kind] for c, room in found}, -np.inf, free[name][kind] + 1e-9))
     for number, host in enumerate(hosts):
-        for kind, amount in enumerate(lacking(problem, host)):
+        for kind, amount in enumerate(missing_resources(problem, host)):
             if amount > 0:
                 gives = {c: room[kind] for c, room in by_host.get(number, [])}
                 rows.append(({**gives, number: -amount}, -1e-9, np.inf))
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -20,7 +20,7 @@
 from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.placement import Slot, may_use_machine, room_wait_s
-from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
+from chalkgrade.moves.planner import MachineState, MovableTask, PlacementProblem, Plan, find_plans
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.outside import Bucket
 from chalkgrade.record.changes import PersistedValue
@@ -35,7 +35,7 @@
 log = logging.getLogger("chalkgrade.moves")
 
 MOVES_KEY = "cg/moves"
-WAITING = "waiting for a move"
+REASON_MOVE = "waiting for a move"
 
 
 class MoveRecord(msgspec.Struct):
@@ -65,49 +65,53 @@
     homes: list[MoveRecord] = []
 
 
-class MoveGate(StartConstraint):
+class MoveConstraint(StartConstraint):
     """Keeps freed room for its large job, and targets for the tasks that come."""
 
     def __init__(self, part: "Moves") -> None:
         self._part = part
-        self.kept: dict[str, list[tuple[str, Vector]]] = {}
+        self.reserved_resources: dict[str, list[tuple[str, Vector]]] = {}
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
-        self.kept = {}
-        book = self._part.book.jobs
+        self.reserved_resources = {}
+        book = self._part.registry.jobs
         for plan in self._part.value.plans:
             job = book.get(plan.job)
             if job is not None:
-                self.kept.setdefault(plan.host, []).append((job.name, job.spec.resources))
-        for move in self._part.unsettled():
+                self.reserved_resources.setdefault(plan.host, []).append(
+                    (job.name, job.spec.resources)
+                )
+        for move in self._part.pending_moves():
             room = book[move.job].spec.resources
-            self.kept.setdefault(move.target, []).append((move.job, room))
+            self.reserved_resources.setdefault(move.target, []).append((move.job, room))
 
-    def left(self, job: Job, slot: Slot) -> Vector:
+    def unreserved_resources(self, job: Job, slot: Slot) -> Vector:
         """What is free on a machine beyond what is kept on it for others."""
         free = slot.free
-        for owner, room in self.kept.get(slot.name, ()):
+        for owner, room in self.reserved_resources.get(slot.name, ()):
             if owner != job.name:
                 free = minus(free, room)
         return free
 
     def allows_slot(self, job: Job, slot: Slot) -> bool:
-        return slot.name not in self.kept or fits(job.spec.resources, self.left(job, slot))
+        return slot.name not in self.reserved_resources or fits(
+            job.spec.resources, self.unreserved_resources(job, slot)
+        )
 
     def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
         """Stopped tasks start at their targets before anything else is placed."""
-        for move in self._part.unsettled():
+        for move in self._part.pending_moves():
             if move.home_until:
-                yield self._part.book.jobs[move.job], move.index, move.target
+                yield self._part.registry.jobs[move.job], move.index, move.target
 
     def refusal_reason(self, job: Job) -> str:
-        return WAITING if any(plan.job == job.name for plan in self._part.value.plans) else ""
+        return REASON_MOVE if any(plan.job == job.name for plan in self._part.value.plans) else ""
 
 
 class Moves(Component):
     """Plans and carries out moves under one token."""
 
-    find = staticmethod(plan_many)  # the planner
+    planner = staticmethod(find_plans)  # the planner
 
     def __init__(
         self,
@@ -117,40 +121,40 @@
         able: Callable[[Job, int], int],
         ties: Callable[[Job], bool],
     ) -> None:
-        self.domain = domain
+        self.term_context = domain
         self.settings = settings
         self.renter = renter
-        self.able = able
-        self.ties = ties
+        self.max_demand = able
+        self.holds_scarce_resource = ties
         self.clock = domain.context.clock
-        self.book = domain.registry
+        self.registry = domain.registry
         self.fleet = domain.fleet
         self.value = MovesValue()
-        self.record = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
-        self.persisted_values = [self.record]
-        self.gate = MoveGate(self)
-        self.start_constraints = [self.gate]
+        self.persisted_value = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
+        self.persisted_values = [self.persisted_value]
+        self.constraint = MoveConstraint(self)
+        self.start_constraints = [self.constraint]
         self.decision_loops = [self.run]
         self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
         rate = settings.per_minute / 60
         self.budget = Bucket(self.clock, rate, settings.per_minute)
-        self.tried: dict[object, float] = {}  # shape of work -> when a plan was looked for
-        self.plans: dict[str, int] = {}  # by what came of them
-        self.moves: dict[str, int] = {}
+        self.planned_at: dict[object, float] = {}  # shape of work -> when a plan was looked for
+        self.plan_outcomes: dict[str, int] = {}  # by what came of them
+        self.stops_by_cause: dict[str, int] = {}
 
     def _load(self, raw: bytes) -> None:
         self.value = msgspec.json.decode(raw, type=MovesValue)
 
     # -- what is under way -------------------------------------------------------------
 
-    def _all(self) -> list[MoveRecord]:
+    def _open_moves(self) -> list[MoveRecord]:
         return [*(move for plan in self.value.plans for move in plan.moves), *self.value.homes]
 
-    def unsettled(self) -> list[MoveRecord]:
+    def pending_moves(self) -> list[MoveRecord]:
         """Moves whose task is at its source, or waits to start at its target."""
         out = []
-        for move in self._all():
-            job = self.book.jobs.get(move.job)
+        for move in self._open_moves():
+            job = self.registry.jobs.get(move.job)
             if job is None or job.aborted or job.aborting:
                 continue
             attempt = job.live.get(move.index)
@@ -159,25 +163,27 @@
         return out
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        for move in self._all():
+        for move in self._open_moves():
             if (move.job, move.index, move.number) == (
                 attempt.job.name,
                 attempt.index,
                 attempt.number,
             ):
-                self.moves[cause or "lost"] = self.moves.get(cause or "lost", 0) + 1
+                self.stops_by_cause[cause or "lost"] = (
+                    self.stops_by_cause.get(cause or "lost", 0) + 1
+                )
                 move.home_until = self.clock.wall() + constants.MOVE_HOME_S
-                self.record.mark_changed()
+                self.persisted_value.mark_changed()
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(constants.MOVE_EVERY_S)
-            if self.domain.is_serving():
+            if self.term_context.is_serving():
                 self._advance()
                 if len(self.value.plans) < constants.MOVE_PLANS:
-                    self._look()
-                if self.record.is_dirty:
-                    self.book.flush_wanted.set()
+                    self._plan_next_job()
+                if self.persisted_value.is_dirty:
+                    self.registry.flush_wanted.set()
 
     def _advance(self) -> None:
         """Work out for each plan what is left of it; stop what is still at its source."""
@@ -186,26 +192,26 @@
             outcome = self._outcome(plan, wall)
             if outcome:
                 self._close(plan, outcome)
-            elif not self.record.is_dirty:  # durable before anything is stopped for it
+            elif not self.persisted_value.is_dirty:  # durable before anything is stopped for it
                 for move in plan.moves:
-                    attempt = self._at_source(move)
+                    attempt = self._attempt_at_source(move)
                     if attempt is not None and attempt.kill_requested_at is None:
                         attempt.kill_requested_at = self.clock.now()
                         what = about(self.fleet.token, move.job, move.source, attempt.label)
                         log.info("moving %s to %s", attempt.label, move.target, extra=what)
-        homes = [m for m in self.unsettled() if m in self.value.homes and m.home_until > wall]
+        homes = [m for m in self.pending_moves() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
-            self.record.mark_changed()
+            self.persisted_value.mark_changed()
 
-    def _at_source(self, move: MoveRecord) -> Attempt | None:
-        job = self.book.jobs.get(move.job)
+    def _attempt_at_source(self, move: MoveRecord) -> Attempt | None:
+        job = self.registry.jobs.get(move.job)
         attempt = job.live.get(move.index) if job is not None else None
         return attempt if attempt is not None and attempt.number == move.number else None
 
     def _outcome(self, plan: PlanRecord, wall: float) -> str:
         """What came of a plan, or nothing while it is under way."""
-        job = self.book.jobs.get(plan.job)
+        job = self.registry.jobs.get(plan.job)
         if job is None or job.aborted or job.aborting:
             return "not needed"
         if any(attempt.machine == plan.host for attempt in job.live.values()):
@@ -214,7 +220,10 @@
             return "started elsewhere"
         if wall > plan.until:
             return "late"
-        names = [plan.host, *(m.target for m in plan.moves if self._at_source(m) is not None)]
+        names = [
+            plan.host,
+            *(m.target for m in plan.moves if self._attempt_at_source(m) is not None),
+        ]
         for name in names:
             machine = self.fleet.machines.get(name)
             if machine is None or not self.fleet.is_in_service(machine):
@@ -223,7 +232,7 @@
 
     def _close(self, plan: PlanRecord, outcome: str) -> None:
         """Drop a plan: what was stopped goes on to its target, what was not stays."""
-        self.plans[outcome] = self.plans.get(outcome, 0) + 1
+        self.plan_outcomes[outcome] = self.plan_outcomes.get(outcome, 0) + 1
         log.info(
             "plan for %s on %s: %s",
             plan.job,
@@ -234,7 +243,7 @@
         self.value.plans.remove(plan)
         until = self.clock.wall() + constants.MOVE_HOME_S
         for move in plan.moves:
-            attempt = self._at_source(move)
+            attempt = self._attempt_at_source(move)
             if attempt is not None and not attempt.kill_sent:
                 if not (attempt.job.aborted or attempt.job.aborting):
                     attempt.kill_requested_at = None  # nobody told it to stop yet
@@ -242,33 +251,35 @@
             move.home_until = move.home_until or (until if attempt is None else 0.0)
             if attempt is None or attempt.kill_sent:
                 self.value.homes.append(move)
-        self.record.mark_changed()
+        self.persisted_value.mark_changed()
 
     # -- looking for plans ---------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _plan_next_job(self) -> None:
         """A plan for the first large job that gains by one."""
         jobs = sorted(
-            (job for job in self.book.jobs.values() if self._waits(job)),
-            key=self.domain.queues.scheduling_key,
+            (job for job in self.registry.jobs.values() if self._is_candidate(job)),
+            key=self.term_context.queues.scheduling_key,
         )
         if not jobs:
             return
         # What fits some machine as it is needs no plan, only its turn.
         now = self.clock.now()
         least = min(job.spec.vcpus for job in jobs)
-        floor = ClusterSnapshot(self.fleet, self.domain.flavors, self.domain.queues, least, now)
+        floor = ClusterSnapshot(
+            self.fleet, self.term_context.flavors, self.term_context.queues, least, now
+        )
         slots = floor.all_slots()
         for job in jobs:
             # One search a look, and each shape of work now and then: a search costs more
             # than a round, and what found no plan finds none a moment later.
             key = (job.spec.machine_constraints, job.spec.urgency_rank)
-            if now - self.tried.get(key, -1e9) >= constants.MOVE_RETRY_S:
-                self.tried[key] = now
-                self._try(job, slots, jobs)
+            if now - self.planned_at.get(key, -1e9) >= constants.MOVE_RETRY_S:
+                self.planned_at[key] = now
+                self._plan_for_job(job, slots, jobs)
                 return
 
-    def _waits(self, job: Job) -> bool:
+    def _is_candidate(self, job: Job) -> bool:
         spec = job.spec
         if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
@@ -279,18 +290,18 @@
             return False
         if any(plan.job == job.name for plan in self.value.plans):
             return False
-        return self.able(job, 1) > 0
+        return self.max_demand(job, 1) > 0
 
-    def _try(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
+    def _plan_for_job(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
         """Look for a plan for one task, or all of a gang, and adopt it if it gains."""
         spec = job.spec
-        fitting = [s for s in slots if self._suits(job, s)]
+        fitting = [s for s in slots if self._can_host(job, s)]
         if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
-        teams = self.domain.context.settings.cluster.teams
-        maxima = TeamLimits({team.name: team for team in teams}, self.domain.queues)
-        maxima.begin_round(self.book.jobs.values(), self.clock.now())
+        teams = self.term_context.context.settings.cluster.teams
+        maxima = TeamLimits({team.name: team for team in teams}, self.term_context.queues)
+        maxima.begin_round(self.registry.jobs.values(), self.clock.now())
         if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
             return
         # Less urgent work takes what it finds; nothing is kept open for it.
@@ -300,24 +311,26 @@
         # Only for a few hosts need be known who could leave them: those that lack least.
         hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
         names = {slot.name for slot in hosts}
-        places = tuple(self._place(job, slot, slot.name in names) for slot in slots)
-        found = self.find(Problem(spec.resources, pools, places, tuple(sorted(others))), count)
+        places = tuple(self._machine_state(job, slot, slot.name in names) for slot in slots)
+        found = self.planner(
+            PlacementProblem(spec.resources, pools, places, tuple(sorted(others))), count
+        )
         if not found:
             return
-        took = max(self._takes_s(plan) for plan in found)
-        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rent_s(job))
+        took = max(self._plan_duration_s(plan) for plan in found)
+        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rental_wait_s(job))
         cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
         gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
         if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
             for plan in found:
                 self._adopt(job, plan, took, instead)
 
-    def _suits(self, job: Job, slot: Slot) -> bool:
+    def _can_host(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
         pool = (slot.hosttype, slot.site, slot.standby)
         return may_use_machine(spec, *pool) and fits(spec.resources, slot.total)
 
-    def _rent_s(self, job: Job) -> float:
+    def _rental_wait_s(self, job: Job) -> float:
         """How long until a rented machine could start it; infinite where none is coming.
 
         What can be had at a price worth it is asked for within a moment of the job's
@@ -325,7 +338,7 @@
         """
         now, best = self.clock.now(), float("inf")
         for machine in self.fleet.machines.values():
-            flavor = self.domain.flavors.get(machine.hosttype)
+            flavor = self.term_context.flavors.get(machine.hosttype)
             if machine.reported_at is not None or machine.releasing or flavor is None:
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
@@ -334,26 +347,28 @@
                 best = min(best, left if left is not None else float("inf"))
         return best
 
-    def _takes_s(self, plan: Plan) -> float:
+    def _plan_duration_s(self, plan: Plan) -> float:
         """From now until the large task can be launched: stops, saves, reports."""
-        jobs = [self.book.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
+        jobs = [self.registry.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
         saves = max(job.spec.flushS for job in jobs)
         return saves + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
 
-    def _place(self, job: Job, slot: Slot, host: bool) -> Place:
+    def _machine_state(self, job: Job, slot: Slot, host: bool) -> MachineState:
         """A machine as the planner sees it; room that is kept on it is not free."""
         machine = self.fleet.machines[slot.name]
         residents = [
-            self._resident(attempt, machine)
+            self._movable_task(attempt, machine)
             for attempt in (machine.attempts.values() if host else ())
-            if self._movable(attempt, job)
+            if self._is_movable(attempt, job)
         ]
         pool = (slot.hosttype, slot.site, slot.standby)
-        free = tuple(max(0.0, amount) for amount in self.gate.left(job, slot))
+        free = tuple(max(0.0, amount) for amount in self.constraint.unreserved_resources(job, slot))
         images = frozenset(slot.images | slot.fetching)
-        return Place(slot.name, pool, slot.total, free, images, slot.pull_gb_s, tuple(residents))
+        return MachineState(
+            slot.name, pool, slot.total, free, images, slot.pull_gb_s, tuple(residents)
+        )
 
-    def _movable(self, attempt: Attempt, job: Job) -> bool:
+    def _is_movable(self, attempt: Attempt, job: Job) -> bool:
         """Only what the rules of preemption let be stopped, and loses little by it.
 
         Less urgent work that saves, and replicas, which may be stopped to be moved.
@@ -367,9 +382,9 @@
             or attempt.job.aborted
             or attempt.job.aborting
             or spec.owner in self.settings.optout
-            or self.ties(attempt.job)
+            or self.holds_scarce_resource(attempt.job)
             or self.clock.wall() - moved < self.settings.again_s
-            or any(move.job == attempt.job.name for move in self._all())
+            or any(move.job == attempt.job.name for move in self._open_moves())
         ):
             return False
         if spec.shape == "service":
@@ -380,19 +395,19 @@
             and spec.urgency_rank < job.spec.urgency_rank
         )
 
-    def _resident(self, attempt: Attempt, machine: Machine) -> Resident:
+    def _movable_task(self, attempt: Attempt, machine: Machine) -> MovableTask:
         spec = attempt.job.spec
         tied = spec.oneZone or spec.spread  # its mates' zones allow it where it is
         pools: set[Pool] = {
             (flavor.sku, site, spot)
-            for flavor in self.domain.flavors.values()
+            for flavor in self.term_context.flavors.values()
             for site in flavor.sites
             for spot in SPOT_OPTIONS
             if may_use_machine(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
         }
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
-        return Resident(
+        return MovableTask(
             name, attempt.number, spec.resources, loss, spec.bundle, spec.pullGb, frozenset(pools)
         )
 
@@ -406,7 +421,7 @@
             self.moved_at[name, int(index)] = wall
         until = wall + constants.MOVE_PLAN_S
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
-        self.record.mark_changed()
+        self.persisted_value.mark_changed()
         log.info(
             "plan for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
             job.name,
@@ -420,8 +435,12 @@
 
     def samples(self) -> Iterable[Sample]:
         yield gauge("moves_plans_open", "Plans under way", len(self.value.plans))
-        yield labelled_sample("moves_plans", "Plans by what came of them", "outcome", self.plans)
-        yield labelled_sample("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
+        yield labelled_sample(
+            "moves_plans", "Plans by what came of them", "outcome", self.plan_outcomes
+        )
+        yield labelled_sample(
+            "moves_tasks", "Moved tasks by how they stopped", "cause", self.stops_by_cause
+        )
 
 
 def join(own: MoveSettings, joint: Joint) -> Moves:
--- a/src/chalkgrade/moves/plan.py
+++ b/src/chalkgrade/moves/planner.py
@@ -15,7 +15,7 @@
 from chalkgrade.vectors import EPS, Vector, fits, minus, plus
 
 
-class Resident(msgspec.Struct, frozen=True):
+class MovableTask(msgspec.Struct, frozen=True):
     """A task that may be moved."""
 
     task: str
@@ -27,7 +27,7 @@
     pools: frozenset[Pool]  # where it may run
 
 
-class Place(msgspec.Struct, frozen=True):
+class MachineState(msgspec.Struct, frozen=True):
     """A machine: what is free on it, and who could leave it."""
 
     name: str
@@ -36,21 +36,21 @@
     free: Vector
     images: frozenset[str]
     pull_gb_s: float
-    residents: tuple[Resident, ...] = ()
+    residents: tuple[MovableTask, ...] = ()
 
 
-class Problem(msgspec.Struct, frozen=True):
+class PlacementProblem(msgspec.Struct, frozen=True):
     """A large task that fits nowhere now."""
 
     room: Vector
     pools: frozenset[Pool]
-    places: tuple[Place, ...]
+    places: tuple[MachineState, ...]
     others: tuple[Vector, ...] = ()  # rooms of other work that waits: no new fragments for it
 
 
 @dataclass(frozen=True)
 class Move:
-    resident: Resident
+    resident: MovableTask
     source: str
     target: str
     cost: float  # CPU-seconds
@@ -66,14 +66,16 @@
         return sum(move.cost for move in self.moves)
 
 
-def arrival(resident: Resident, place: Place) -> float:
+def image_fetch_cost(resident: MovableTask, place: MachineState) -> float:
     """CPU-seconds that its CPUs idle at a target while the image is fetched."""
     if not resident.gb or resident.bundle in place.images:
         return 0.0
     return resident.gb / max(place.pull_gb_s, EPS) * resident.room[0]
 
 
-def may_go(resident: Resident, place: Place, free: Vector, others: Iterable[Vector]) -> bool:
+def is_target_allowed(
+    resident: MovableTask, place: MachineState, free: Vector, others: Iterable[Vector]
+) -> bool:
     """Whether a target takes it without losing the room that other waiting work needs."""
     if place.pool not in resident.pools or not fits(resident.room, free):
         return False
@@ -81,92 +83,96 @@
     return all(fits(room, after) or not fits(room, free) for room in others)
 
 
-def lacking(problem: Problem, place: Place) -> Vector:
+def missing_resources(problem: PlacementProblem, place: MachineState) -> Vector:
     """What a host has too little of for the large task."""
     return tuple(max(0.0, n - f) for n, f in zip(problem.room, place.free, strict=True))
 
 
 @dataclass
-class _Search:
+class _HostSearch:
     """Branch and bound over which residents of one host leave it."""
 
-    problem: Problem
-    host: Place
+    problem: PlacementProblem
+    host: MachineState
     best: Plan | None
     steps: int
-    open: list[Place]  # where anybody could go
-    leave: list[tuple[float, Resident]] = field(default_factory=list)  # least cost, the best first
-    targets: dict[str, list[tuple[float, Place]]] = field(default_factory=dict)
+    open: list[MachineState]  # where anybody could go
+    leave: list[tuple[float, MovableTask]] = field(
+        default_factory=list
+    )  # least cost, the best first
+    targets: dict[str, list[tuple[float, MachineState]]] = field(default_factory=dict)
 
     def run(self) -> None:
-        self._look()
-        self._branch(0, lacking(self.problem, self.host), 0.0, [])
+        self._rank_candidates()
+        self._branch(0, missing_resources(self.problem, self.host), 0.0, [])
 
-    def _look(self) -> None:
+    def _rank_candidates(self) -> None:
         """For each resident the targets that are cheapest, the tightest first among equals."""
         for resident in self.host.residents:
             found = sorted(
                 (
-                    (arrival(resident, place), place.free[0], place.name, place)
+                    (image_fetch_cost(resident, place), place.free[0], place.name, place)
                     for place in self.open
                     if place.name != self.host.name
-                    and may_go(resident, place, place.free, self.problem.others)
+                    and is_target_allowed(resident, place, place.free, self.problem.others)
                 ),
                 key=lambda row: row[:3],
             )[: constants.MOVE_TARGETS]
             if found:
                 self.targets[resident.task] = [(row[0], row[3]) for row in found]
                 self.leave.append((resident.loss + found[0][0], resident))
-        lack = lacking(self.problem, self.host)
+        lack = missing_resources(self.problem, self.host)
         # What frees most of what lacks for its cost is tried first.
-        self.leave.sort(key=lambda row: (row[0] / max(_useful(row[1], lack), EPS), row[1].task))
+        self.leave.sort(
+            key=lambda row: (row[0] / max(_useful_share(row[1], lack), EPS), row[1].task)
+        )
 
-    def _branch(self, at: int, lack: Vector, cost: float, chosen: list[Resident]) -> None:
+    def _branch(self, at: int, lack: Vector, cost: float, chosen: list[MovableTask]) -> None:
         self.steps -= 1
         if self.steps <= 0:
             return
         if all(amount <= EPS for amount in lack):
-            self._settle(chosen)
+            self._assign_targets(chosen)
             return
-        if cost + _least(self.leave[at:], lack) >= self._bound():
+        if cost + _cost_lower_bound(self.leave[at:], lack) >= self._cost_bound():
             return
         if at == len(self.leave):
             return
         least, resident = self.leave[at]
-        if _useful(resident, lack) > EPS:
+        if _useful_share(resident, lack) > EPS:
             after = tuple(max(0.0, a - r) for a, r in zip(lack, resident.room, strict=True))
             self._branch(at + 1, after, cost + least, [*chosen, resident])
         self._branch(at + 1, lack, cost, chosen)
 
-    def _bound(self) -> float:
+    def _cost_bound(self) -> float:
         return self.best.cost - EPS if self.best is not None else float("inf")
 
-    def _settle(self, chosen: list[Resident]) -> None:
+    def _assign_targets(self, chosen: list[MovableTask]) -> None:
         """Targets for those who leave: the largest first, each where it costs least."""
         free: dict[str, Vector] = {}
         moves: list[Move] = []
         for resident in sorted(chosen, key=lambda r: (-r.room[0], -r.room[2], r.task)):
             for cost, place in self.targets[resident.task]:
                 left = free.get(place.name, place.free)
-                if may_go(resident, place, left, self.problem.others):
+                if is_target_allowed(resident, place, left, self.problem.others):
                     free[place.name] = minus(left, resident.room)
                     moves.append(Move(resident, self.host.name, place.name, resident.loss + cost))
                     break
             else:
                 return
         plan = Plan(self.host.name, tuple(moves))
-        if plan.cost < self._bound():
+        if plan.cost < self._cost_bound():
             self.best = plan
 
 
-def _useful(resident: Resident, lack: Vector) -> float:
+def _useful_share(resident: MovableTask, lack: Vector) -> float:
     """How much of what lacks it frees, as a part of it, the scarcest counted."""
     return max(
         (min(r, a) / a for r, a in zip(resident.room, lack, strict=True) if a > EPS), default=0.0
     )
 
 
-def _least(leave: list[tuple[float, Resident]], lack: Vector) -> float:
+def _cost_lower_bound(leave: list[tuple[float, MovableTask]], lack: Vector) -> float:
     """A lower bound: parts of residents, the cheapest first, for the resource that costs most."""
     worst = 0.0
     for kind, amount in enumerate(lack):
@@ -187,12 +193,12 @@
     return worst
 
 
-def plan(problem: Problem, steps: int = constants.MOVE_STEPS) -> Plan | None:
+def find_plan(problem: PlacementProblem, steps: int = constants.MOVE_STEPS) -> Plan | None:
     """The least costly plan found within so many steps of search; None: no plan.
 
     Hosts are searched in the order of their lower bounds, so that most need no search.
     """
-    hosts: list[tuple[float, str, Place]] = []
+    hosts: list[tuple[float, str, MachineState]] = []
     every: Vector = (0.0, 0.0, 0.0)
     for place in problem.places:
         every = plus(every, place.free)
@@ -208,7 +214,9 @@
             freed = plus(freed, resident.room)
         if fits(problem.room, freed):
             rows = [(resident.loss, resident) for resident in place.residents]
-            hosts.append((_least(rows, lacking(problem, place)), place.name, place))
+            hosts.append(
+                (_cost_lower_bound(rows, missing_resources(problem, place)), place.name, place)
+            )
     # Of many targets the tightest are enough: gaps are filled, whole machines stay whole.
     gaps = (place for place in problem.places if place.free[0] > EPS)
     tightest = heapq.nsmallest(
@@ -218,7 +226,7 @@
     for bound, _, host in sorted(hosts, key=lambda row: row[:2])[: constants.MOVE_HOSTS]:
         if best is not None and bound >= best.cost:
             break
-        search = _Search(problem, host, best, steps, tightest)
+        search = _HostSearch(problem, host, best, steps, tightest)
         search.run()
         best, steps = search.best, search.steps
         if steps <= 0:
@@ -226,7 +234,7 @@
     return best
 
 
-def after(problem: Problem, found: Plan) -> Problem:
+def apply_plan(problem: PlacementProblem, found: Plan) -> PlacementProblem:
     """The machines once a plan is carried out and its large task runs."""
     places = {place.name: place for place in problem.places}
     for move in found.moves:
@@ -243,7 +251,7 @@
     return msgspec.structs.replace(problem, places=tuple(places.values()))
 
 
-def plan_many(problem: Problem, count: int) -> list[Plan]:
+def find_plans(problem: PlacementProblem, count: int) -> list[Plan]:
     """Plans for several tasks that start together (a gang), or none; one is the usual case."""
     out: list[Plan] = []
     for _ in range(count):
@@ -255,10 +263,10 @@
             ),
             None,
         )
-        found = Plan(fit.name, ()) if fit is not None else plan(problem)
+        found = Plan(fit.name, ()) if fit is not None else find_plan(problem)
         if found is None:
             return []
         if found.moves:
             out.append(found)
-        problem = after(problem, found)
+        problem = apply_plan(problem, found)
     return out
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -27,19 +27,23 @@
         self.over = over  # those that ended under this token, and how
         self.released = released  # all that a job waited for is done
         self.cancelled = cancelled  # something before it was cancelled
-        self.needs: dict[str, set[str]] = {}  # job that is held -> those that are not done yet
-        self.heirs: dict[str, dict[str, None]] = {}  # job -> those that name it, not over
-        self.unknown: dict[str, None] = {}  # named, and in no record here: to be looked up
-        self._done_at: dict[str, float] = {}  # held job -> wall time of the last end it waited for
-
-    def enter(self, job: Job, now: float) -> None:
+        self.unfinished_dependencies: dict[
+            str, set[str]
+        ] = {}  # job that is held -> those that are not done yet
+        self.successors: dict[str, dict[str, None]] = {}  # job -> those that name it, not over
+        self.unresolved: dict[str, None] = {}  # named, and in no record here: to be looked up
+        self._last_end_at: dict[
+            str, float
+        ] = {}  # held job -> wall time of the last end it waited for
+
+    def add_job(self, job: Job, now: float) -> None:
         """A job is known; `now`: wall time. It may have named others, or been named."""
-        self.unknown.pop(job.name, None)
-        if job.name in self.needs or not job.in_pipeline:
+        self.unresolved.pop(job.name, None)
+        if job.name in self.unfinished_dependencies or not job.in_pipeline:
             return
         names = job.submitted_spec.waitsOn or []
         for name in names:
-            self.heirs.setdefault(name, {})[job.name] = None
+            self.successors.setdefault(name, {})[job.name] = None
         if not job.is_blocked or job.aborted:
             return
         if job.pages:
@@ -47,66 +51,66 @@
             job.unblock(job.accepted_at)
             self.released(job)
             return
-        self.needs[job.name] = set(names)
-        self._done_at[job.name] = job.accepted_at
+        self.unfinished_dependencies[job.name] = set(names)
+        self._last_end_at[job.name] = job.accepted_at
         for name in names:
             status = self.over.get(name)
             known = self.jobs.get(name)
             if status is not None:
-                self._settled(job, name, status, now)
+                self._dependency_ended(job, name, status, now)
             elif known is None:
-                self.unknown[name] = None
+                self.unresolved[name] = None
             elif known.aborted:
-                self._cancel(job)
+                self._cancel_with_successors(job)
 
-    def settle(self, name: str, status: str, at: float) -> None:
+    def job_ended(self, name: str, status: str, at: float) -> None:
         """A job is durably over since wall time `at`."""
-        self.unknown.pop(name, None)
-        self.needs.pop(name, None)
-        self._done_at.pop(name, None)
-        for heir in self._heirs(name):
-            self._settled(heir, name, status, at)
+        self.unresolved.pop(name, None)
+        self.unfinished_dependencies.pop(name, None)
+        self._last_end_at.pop(name, None)
+        for heir in self._unfinished_successors(name):
+            self._dependency_ended(heir, name, status, at)
 
-    def left(self, job: Job) -> None:
+    def remove_ended_job(self, job: Job) -> None:
         """A job is over and no more among `jobs`: nobody is needed by it any more."""
         for before in job.submitted_spec.waitsOn or []:
-            self._disown(before, job.name)
+            self._remove_successor(before, job.name)
 
-    def aborted(self, job: Job) -> None:
+    def job_aborted(self, job: Job) -> None:
         """A job is durably aborted, by its user."""
-        self.needs.pop(job.name, None)
-        for heir in self._heirs(job.name):
-            self._cancel(heir)
+        self.unfinished_dependencies.pop(job.name, None)
+        for heir in self._unfinished_successors(job.name):
+            self._cancel_with_successors(heir)
 
-    def _disown(self, name: str, heir: str) -> None:
-        heirs = self.heirs.get(name)
+    def _remove_successor(self, name: str, heir: str) -> None:
+        heirs = self.successors.get(name)
         if heirs is not None:
             heirs.pop(heir, None)
             if not heirs:
-                del self.heirs[name]
+                del self.successors[name]
                 job = self.jobs.get(name)
                 if job is not None:  # nobody needs it any more: what it was lent goes back
                     job.spec, job.due_times = job.submitted_spec, None
 
-    def _heirs(self, name: str) -> list[Job]:
-        found = (self.jobs.get(heir) for heir in list(self.heirs.get(name, ())))
+    def _unfinished_successors(self, name: str) -> list[Job]:
+        found = (self.jobs.get(heir) for heir in list(self.successors.get(name, ())))
         return [job for job in found if job is not None]
 
-    def _settled(self, job: Job, name: str, status: str, at: float) -> None:
-        needs = self.needs.get(job.name)
+    def _dependency_ended(self, job: Job, name: str, status: str, at: float) -> None:
+        needs = self.unfinished_dependencies.get(job.name)
         if needs is None:
             return
         if status == WITHDRAWN:
-            self._cancel(job)
+            self._cancel_with_successors(job)
             return
         needs.discard(name)
-        self._done_at[job.name] = max(self._done_at[job.name], at)
+        self._last_end_at[job.name] = max(self._last_end_at[job.name], at)
         if not needs:
-            del self.needs[job.name]
-            job.unblock(self._done_at.pop(job.name))
+            del self.unfinished_dependencies[job.name]
+            job.unblock(self._last_end_at.pop(job.name))
             self.released(job)
 
-    def _cancel(self, first: Job) -> None:
+    def _cancel_with_successors(self, first: Job) -> None:
         """It and all that need it; none of them has ever started."""
         stack = [first]
         while stack:
@@ -114,20 +118,20 @@
             if not job.is_blocked or job.aborted:
                 continue
             job.aborted = True
-            self.needs.pop(job.name, None)
-            self._done_at.pop(job.name, None)
+            self.unfinished_dependencies.pop(job.name, None)
+            self._last_end_at.pop(job.name, None)
             self.cancelled(job)
-            stack += self._heirs(job.name)
+            stack += self._unfinished_successors(job.name)
 
-    def sure(self, job: Job) -> bool:
+    def is_cancellation_known(self, job: Job) -> bool:
         """Whether it is known that nothing before a job is cancelled, or being cancelled.
 
         Else another controller, which reads the record, may know better than we do.
         """
         stack, seen = [job], {job.name}
         while stack:
-            for name in self.needs.get(stack.pop().name, ()):
-                if name in self.unknown:
+            for name in self.unfinished_dependencies.get(stack.pop().name, ()):
+                if name in self.unresolved:
                     return False
                 before = self.jobs.get(name)
                 if before is None:
@@ -139,14 +143,14 @@
                     stack.append(before)
         return True
 
-    def coming(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
+    def ready_within(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
         """The jobs that may run within so many s as things stand, and in how many; the first first.
 
         `ends`: how long a job that may run takes until it is over; s. What waits for a job
         that waits itself comes later than we look.
         """
         out = []
-        for name, needs in self.needs.items():
+        for name, needs in self.unfinished_dependencies.items():
             job = self.jobs.get(name)
             before = [self.jobs.get(need) for need in needs]
             if job is None or not all(b is not None and not b.is_blocked for b in before):
@@ -156,7 +160,7 @@
                 out.append((job, in_s))
         return sorted(out, key=lambda row: row[1])
 
-    def related(self) -> Iterator[Job]:
+    def successors_first(self) -> Iterator[Job]:
         """All that wait or are waited for, those that nobody waits for first.
 
         A job names only jobs that were accepted before it, so there is no circle; should a
@@ -164,7 +168,7 @@
         """
         order: list[str] = []
         seen: set[str] = set()
-        for root in [*self.heirs, *(n for heirs in self.heirs.values() for n in heirs)]:
+        for root in [*self.successors, *(n for heirs in self.successors.values() for n in heirs)]:
             stack = [(root, False)]
             while stack:
                 name, back = stack.pop()
@@ -173,7 +177,7 @@
                 elif name not in seen:
                     seen.add(name)
                     stack.append((name, True))
-                    stack += [(heir, False) for heir in self.heirs.get(name, ())]
+                    stack += [(heir, False) for heir in self.successors.get(name, ())]
         for name in order:
             job = self.jobs.get(name)
             if job is not None:
--- a/src/chalkgrade/pipelines/optimum.py
+++ b/src/chalkgrade/pipelines/integer_program.py
@@ -21,7 +21,9 @@
     due: int | None = None  # the step by whose begin it should be done
 
 
-def optimum(stages: list[Stage], slots: int, horizon: int, seconds: float) -> tuple[int, int]:
+def optimal_outcome(
+    stages: list[Stage], slots: int, horizon: int, seconds: float
+) -> tuple[int, int]:
     """The fewest late stages, and the least makespan that goes with it; steps.
 
     Raises RuntimeError where the solver (HiGHS) has not proven them in so many seconds.
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -14,24 +14,24 @@
 from chalkgrade.logs import about
 from chalkgrade.outside import NoAnswer
 from chalkgrade.pipelines.graph import Graph
-from chalkgrade.pipelines.slack import inherit
+from chalkgrade.pipelines.slack import propagate_requirements
 from chalkgrade.record.jobs import END_PREFIX, EndValue, Job
 from chalkgrade.record.registry import JobRegistry
 from chalkgrade.state.client import NotExecuted, Rejected
 
 log = logging.getLogger("chalkgrade.pipelines")
 
-WAITS = "waiting for other jobs"
+REASON_DEPENDENCIES = "waiting for other jobs"
 
 
-class _Ready(StartConstraint):
+class _DependencyConstraint(StartConstraint):
     """Asked by every round: nothing starts that waits for others, and all know how urgent it is."""
 
     def __init__(self, part: "Pipelines") -> None:
         self._part = part
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
-        self._part.rank()
+        self._part.update_requirements()
 
     def is_ready(self, job: Job) -> bool:
         return not job.is_blocked
@@ -40,7 +40,7 @@
         return 0 if job.is_blocked else count
 
     def refusal_reason(self, job: Job) -> str:
-        return WAITS if job.is_blocked else ""
+        return REASON_DEPENDENCIES if job.is_blocked else ""
 
 
 class Pipelines(Component):
@@ -54,131 +54,131 @@
         takes: Callable[[Job], float],
     ) -> None:
         """`came`: told of jobs that may run now, as of new ones; `dues`, `takes`: see `inherit`."""
-        self.book = book
+        self.registry = book
         self.clock = book.clock
-        self.came = came
-        self.dues = dues
-        self.takes = takes
-        self.graph = Graph(book.jobs, book.over, self._released, self._cancelled)
-        self.start_constraints = [_Ready(self)]
-        self.decision_loops = [self._look_up]
+        self.on_job_ready = came
+        self.due_times = dues
+        self.expected_makespan_s = takes
+        self.graph = Graph(book.jobs, book.over, self._on_released, self._on_cancelled)
+        self.start_constraints = [_DependencyConstraint(self)]
+        self.decision_loops = [self._resolve_unknown_jobs]
         self.started = False
-        self.fresh: set[str] = set()  # submitted under this token, and held
-        self.changed = False  # what jobs inherit is to be worked out anew
-        self.wanted = asyncio.Event()  # something is to be looked up
-        self.counts: Counter[str] = Counter()
-        book.on_job_ended = self._over
-        book.on_job_aborted = self._aborted
+        self.submitted_this_term: set[str] = set()  # submitted under this token, and held
+        self.requirements_changed = False  # what jobs inherit is to be worked out anew
+        self.lookup_requested = asyncio.Event()  # something is to be looked up
+        self.event_counts: Counter[str] = Counter()
+        book.on_job_ended = self._on_job_ended
+        book.on_job_aborted = self._on_job_aborted
 
     # -- what happens -----------------------------------------------------------------
 
     def start(self) -> None:
         self.started = True
-        for job in list(self.book.jobs.values()):
-            self._enter(job)
+        for job in list(self.registry.jobs.values()):
+            self._add_to_graph(job)
 
     def on_job(self, job: Job, fresh: bool) -> None:
         if fresh and job.is_blocked:
-            self.fresh.add(job.name)
+            self.submitted_this_term.add(job.name)
             names = job.submitted_spec.waitsOn or []
             shown = ", ".join(names[: constants.NAMES_SHOWN])
             more = f" and {len(names) - constants.NAMES_SHOWN} more"
-            what = about(self.book.office.token, job.name)
+            what = about(self.registry.office.token, job.name)
             more = more if len(names) > constants.NAMES_SHOWN else ""
             log.info("job %s: waits for %s%s", job.name, shown, more, extra=what)
         if self.started:
-            self._enter(job)
-
-    def _enter(self, job: Job) -> None:
-        self.graph.enter(job, self.clock.wall())
-        self.changed = self.changed or job.in_pipeline
-        if self.graph.unknown:
-            self.wanted.set()
-
-    def _released(self, job: Job) -> None:
-        self.counts["released"] += 1
-        what = about(self.book.office.token, job.name)
-        self.changed = True
-        self.rank()
+            self._add_to_graph(job)
+
+    def _add_to_graph(self, job: Job) -> None:
+        self.graph.add_job(job, self.clock.wall())
+        self.requirements_changed = self.requirements_changed or job.in_pipeline
+        if self.graph.unresolved:
+            self.lookup_requested.set()
+
+    def _on_released(self, job: Job) -> None:
+        self.event_counts["released"] += 1
+        what = about(self.registry.office.token, job.name)
+        self.requirements_changed = True
+        self.update_requirements()
         text = "nobody with a deadline needs it"
         if job.due_times:
-            left = job.due_times[0] - self.clock.wall() - self.takes(job)
+            left = job.due_times[0] - self.clock.wall() - self.expected_makespan_s(job)
             text = f"needed with {left:.0f} s of slack, as {job.spec.urgency}"
         log.info("job %s: all that it waited for is done; %s", job.name, text, extra=what)
-        self.came(job, job.name in self.fresh)
-        self.fresh.discard(job.name)
+        self.on_job_ready(job, job.name in self.submitted_this_term)
+        self.submitted_this_term.discard(job.name)
 
-    def _cancelled(self, job: Job) -> None:
-        self.counts["cancelled"] += 1
-        what = about(self.book.office.token, job.name)
+    def _on_cancelled(self, job: Job) -> None:
+        self.event_counts["cancelled"] += 1
+        what = about(self.registry.office.token, job.name)
         log.info("job %s: cancelled with a job before it", job.name, extra=what)
-        self.changed = True
-        self.fresh.discard(job.name)
-        self.book.update_ending(job)
+        self.requirements_changed = True
+        self.submitted_this_term.discard(job.name)
+        self.registry.update_ending(job)
 
-    def _over(self, job: Job, status: str) -> None:
-        self.graph.left(job)
-        self._settle(job.name, status, self.clock.wall())
+    def _on_job_ended(self, job: Job, status: str) -> None:
+        self.graph.remove_ended_job(job)
+        self._dependency_ended(job.name, status, self.clock.wall())
 
-    def _aborted(self, job: Job) -> None:
-        self.graph.aborted(job)
-        self.changed = True
+    def _on_job_aborted(self, job: Job) -> None:
+        self.graph.job_aborted(job)
+        self.requirements_changed = True
 
-    def _settle(self, name: str, status: str, at: float) -> None:
-        self.changed = self.changed or name in self.graph.heirs
-        self.graph.settle(name, status, at)
+    def _dependency_ended(self, name: str, status: str, at: float) -> None:
+        self.requirements_changed = self.requirements_changed or name in self.graph.successors
+        self.graph.job_ended(name, status, at)
 
     # -- what others ask --------------------------------------------------------------
 
-    def rank(self) -> None:
+    def update_requirements(self) -> None:
         """Work out what jobs inherit, if anything has changed."""
-        if self.changed:
-            self.changed = False
-            inherit(self.graph, self.dues, self.takes)
+        if self.requirements_changed:
+            self.requirements_changed = False
+            propagate_requirements(self.graph, self.due_times, self.expected_makespan_s)
 
-    def sure(self, job: Job) -> bool:
+    def is_cancellation_known(self, job: Job) -> bool:
         """Whether a user may be told that a job that waits is not cancelled."""
-        return not job.is_blocked or job.aborted or self.graph.sure(job)
+        return not job.is_blocked or job.aborted or self.graph.is_cancellation_known(job)
 
     # -- jobs that ended before this term -----------------------------------------------
 
-    async def _look_up(self) -> None:
+    async def _resolve_unknown_jobs(self) -> None:
         """Read how jobs ended that are named and on no record here. Until then who names waits."""
         pause = constants.STATE_PAUSE_S
         while True:
             # What is met again waits between two looks; what is named just now does not.
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(pause if self.graph.unknown else None):
-                    await self.wanted.wait()
-            self.wanted.clear()
-            names = list(self.graph.unknown)
+                async with asyncio.timeout(pause if self.graph.unresolved else None):
+                    await self.lookup_requested.wait()
+            self.lookup_requested.clear()
+            names = list(self.graph.unresolved)
             for begin in range(0, len(names), constants.LOOK_UPS):
                 part = names[begin : begin + constants.LOOK_UPS]
-                await asyncio.gather(*(self._read(name) for name in part))
+                await asyncio.gather(*(self._read_end(name) for name in part))
             # Left: accepted by a node that the leader's watch has yet to tell of, or unreadable.
-            unread = bool(self.graph.unknown)
+            unread = bool(self.graph.unresolved)
             pause = min(2 * pause, constants.LOOK_UP_PAUSE_S) if unread else constants.STATE_PAUSE_S
 
-    async def _read(self, name: str) -> None:
+    async def _read_end(self, name: str) -> None:
         try:
-            row = await self.book.ledger.get(END_PREFIX + name)
+            row = await self.registry.ledger.get(END_PREFIX + name)
             if row is not None:
                 end = msgspec.json.decode(row.v, type=EndValue)
-                self.book.remember_final_state(name, end.status, end.tasks)
-                self._settle(name, end.status, end.at)
+                self.registry.remember_final_state(name, end.status, end.tasks)
+                self._dependency_ended(name, end.status, end.at)
         except (NoAnswer, NotExecuted, Rejected, msgspec.DecodeError) as error:
             log.debug("end of %s: %s", name, error)
 
     def samples(self) -> Iterable[Sample]:
-        jobs = self.book.jobs.values()
+        jobs = self.registry.jobs.values()
         held = Counter(job.spec.jobclass for job in jobs if job.is_blocked)
         yield labelled_sample(
             "jobs_held", "Jobs that wait for others", "class", held, counter=False
         )
         text = "Named jobs whose end is being read"
-        yield gauge("jobs_looked_up", text, len(self.graph.unknown))
+        yield gauge("jobs_looked_up", text, len(self.graph.unresolved))
         text = "Jobs let go, or cancelled with others"
-        yield labelled_sample("pipeline_jobs", text, "what", self.counts)
+        yield labelled_sample("pipeline_jobs", text, "what", self.event_counts)
         now = self.clock.wall()
         slack = min((job.due_times[0] - now for job in jobs if job.due_times), default=0.0)
         yield gauge("pipeline_slack", "Least time left for a job that others need, s", slack)
--- a/src/chalkgrade/pipelines/slack.py
+++ b/src/chalkgrade/pipelines/slack.py
@@ -12,21 +12,21 @@
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.record.jobs import Job
 
-Dues = Callable[[Job], list[float]]
+DueTimes = Callable[[Job], list[float]]
 
 
-def inherit(graph: Graph, own: Dues, takes: Callable[[Job], float]) -> None:
+def propagate_requirements(graph: Graph, own: DueTimes, takes: Callable[[Job], float]) -> None:
     """Give each predecessor the latest finish and the urgency of those that need it.
 
     `own`: wall times by which a job's own deadlines lie, the first one first; `takes`: s from
     the moment in which a job may run until it is over. A successor that is cancelled passes
     nothing on, so that what was taken from it is given back.
     """
-    for job in graph.related():
+    for job in graph.successors_first():
         asked = job.submitted_spec
         spec = asked
         needed: list[float] | None = None
-        for name in graph.heirs.get(job.name, ()):
+        for name in graph.successors.get(job.name, ()):
             heir = graph.jobs.get(name)
             if heir is None or heir.aborted or heir.aborting:
                 continue
@@ -40,4 +40,4 @@
         if job.spec.urgency != spec.urgency:
             job.spec = spec
         job.due_times = needed
-        job.in_pipeline = job.in_pipeline or job.name in graph.heirs
+        job.in_pipeline = job.in_pipeline or job.name in graph.successors
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -13,15 +13,20 @@
 
 from chalkgrade import constants
 from chalkgrade.experiments import licences as experiment
-from chalkgrade.licences.needs import Needs
-from chalkgrade.licences.seats import SEAT, SERVER, SeatGate, Usable
+from chalkgrade.licences.checkouts import PoolCheckouts
+from chalkgrade.licences.requirements import SeatRequirements
+from chalkgrade.licences.seat_constraint import (
+    REASON_LICENCE_SERVER_UNREACHABLE,
+    REASON_NO_SEAT,
+    SeatConstraint,
+    UsableSeats,
+)
 from chalkgrade.licences.settings import (
     LicenceNeed,
     LicencePool,
     LicenceSettings,
     parse_licences,
 )
-from chalkgrade.licences.stock import PoolStock
 from chalkgrade.outside import NoAnswer, Reply
 from chalkgrade.record.jobs import Attempt, Job, JobValue
 from chalkgrade.record.oplog import OpLog
@@ -50,11 +55,11 @@
     def __init__(self, teams: tuple[Team, ...] = (Team("red"), Team("blue"))) -> None:
         plain = experiment.plain_settings(list(teams))
         self.clock, self.log, self.jobs = HandClock(), OpLog(16 * 1024), list[Job]()
-        self.usable = {pool: Usable(seats) for pool, seats in SEATS.items()}
+        self.usable = {pool: UsableSeats(seats) for pool, seats in SEATS.items()}
         pools = [LicencePool(pool, seats) for pool, seats in SEATS.items()]
         self.queues = Queues(plain, self.clock, {})
-        needs = Needs(LicenceSettings(pools, NEEDS))
-        self.gate = SeatGate(needs, self.queues, self.usable.__getitem__)
+        needs = SeatRequirements(LicenceSettings(pools, NEEDS))
+        self.gate = SeatConstraint(needs, self.queues, self.usable.__getitem__)
 
     def job(self, jobclass: str, tasks: int = 1, **changes: Any) -> Job:
         self.clock.at += 0.01
@@ -83,7 +88,11 @@
 
     def held(self, pool: str) -> int:
         """The model: what live attempts take, from scratch."""
-        per = {name: dict(self.gate.needs.of(job.spec)) for job in self.jobs for name in [job]}
+        per = {
+            name: dict(self.gate.requirements.seats_per_task(job.spec))
+            for job in self.jobs
+            for name in [job]
+        }
         return sum(len(job.live) * per[job].get(pool, 0) for job in self.jobs)
 
     def end(self, job: Job) -> None:
@@ -120,7 +129,7 @@
         # for longer than others' right of way, which lapses by turns.
         for job in asked:
             if job.startable_count and bench.gate.refusal_reason(job):
-                assert bench.gate.needs.of(job.spec)
+                assert bench.gate.requirements.seats_per_task(job.spec)
 
     @precondition(lambda self: any(job.live for job in self.bench.jobs))
     @rule(data=st.data())
@@ -131,7 +140,7 @@
     @rule(pool=st.sampled_from(sorted(SEATS)), seats=st.integers(0, 2))
     def recount(self, pool: str, seats: int) -> None:
         """Other holders come and go: below what runs, nothing new starts, nothing is stopped."""
-        self.bench.usable[pool] = Usable(min(seats, SEATS[pool]))
+        self.bench.usable[pool] = UsableSeats(min(seats, SEATS[pool]))
         self.over[pool] = self.bench.held(pool)
 
     @invariant()
@@ -141,7 +150,7 @@
     def teardown(self) -> None:
         """All seats come back, and all work is served once nobody else takes them."""
         bench = self.bench
-        bench.usable.update({pool: Usable(seats) for pool, seats in SEATS.items()})
+        bench.usable.update({pool: UsableSeats(seats) for pool, seats in SEATS.items()})
         for _ in range(200):
             if not any(job.live or len(job.waiting) for job in bench.jobs):
                 return
@@ -186,7 +195,7 @@
     kind: str, changes: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert _among_many(kind, **changes) < 60
-    monkeypatch.setattr(SeatGate, "_starving", lambda self, jobs: [])
+    monkeypatch.setattr(SeatConstraint, "_starving_jobs", lambda self, jobs: [])
     assert _among_many(kind, **changes) == 150  # without its right it never starts
 
 
@@ -235,7 +244,7 @@
     bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
     bench.begin()
     assert bench.start(urgent) is None and bench.gate.is_ready(urgent)
-    assert bench.gate.refusal_reason(urgent) == SEAT
+    assert bench.gate.refusal_reason(urgent) == REASON_NO_SEAT
     return bench, low, urgent
 
 
@@ -345,7 +354,7 @@
         settings = LicencePool("p", self.SEATS, "x:3", timeout_s=self.TTL_S, rps=100.0)
         rng = random.Random(self.token)
         clock = Clock(self.loop, 1.0)
-        self.stock = PoolStock(settings, self.token, self.way, clock, rng, lambda _: self.want)
+        self.stock = PoolCheckouts(settings, self.token, self.way, clock, rng, lambda _: self.want)
         self.forgot.clear()
 
     @rule(want=st.integers(0, 5), fates=FATES, passed=st.floats(0.25, 4.0))
@@ -361,7 +370,7 @@
                 self.stock.backoff()
 
         self.loop.run_until_complete(once())
-        self.forgot &= self.stock.sure.keys()
+        self.forgot &= self.stock.confirmed_until.keys()
 
     @precondition(lambda self: self.way.late)
     @rule()
@@ -373,7 +382,7 @@
     def forget(self) -> None:
         self.server.forget()
         self.people = 0
-        self.forgot |= self.stock.sure.keys()
+        self.forgot |= self.stock.confirmed_until.keys()
 
     @rule()
     def person(self) -> None:
@@ -390,7 +399,7 @@
     @invariant()
     def what_is_surely_ours_is_ours(self) -> None:
         now = self.loop.time()
-        for name, until in self.stock.sure.items():
+        for name, until in self.stock.confirmed_until.items():
             if until > now and name not in self.forgot:
                 assert self.pool.held.get(("chalkgrade", name), 0.0) >= now
         assert len(self.pool.held) <= self.SEATS or self.people
@@ -403,7 +412,7 @@
             for _ in range(60):
                 self.step(want, [], 1.0)
             ours = [key for key in self.pool.held if key[0] == "chalkgrade"]
-            assert len(ours) == self.stock.usable().seats == want
+            assert len(ours) == self.stock.usable_seats().seats == want
         self.loop.close()
         asyncio.set_event_loop(None)
 
@@ -417,9 +426,12 @@
     job, late = bench.job("one"), bench.job("one")
     bench.begin()
     assert bench.start(job)
-    bench.usable["p"] = Usable(0, fresh=False)
+    bench.usable["p"] = UsableSeats(0, fresh=False)
     bench.begin()
-    assert bench.start(late) is None and bench.gate.refusal_reason(late) == SERVER
+    assert (
+        bench.start(late) is None
+        and bench.gate.refusal_reason(late) == REASON_LICENCE_SERVER_UNREACHABLE
+    )
     assert not _stopped(bench)
 
 
@@ -440,18 +452,18 @@
 
 def test_a_gate_that_counts_wrongly_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """If a seat is given back before its attempt is surely absent, more than three run."""
-    plain = SeatGate.begin_round
+    plain = SeatConstraint.begin_round
 
-    def hasty(self: SeatGate, jobs: Any, now: float) -> None:
+    def hasty(self: SeatConstraint, jobs: Any, now: float) -> None:
         known = list(jobs)
         plain(self, known, now)
         for job in known:
             sent = sum(a.state == "" for a in job.live.values())
-            for pool, seats in self.needs.of(job.spec):
+            for pool, seats in self.requirements.seats_per_task(job.spec):
                 self.free[pool] += seats * sent
-                self._open[pool] += seats * sent
+                self._open_seats[pool] += seats * sent
 
-    monkeypatch.setattr(SeatGate, "begin_round", hasty)
+    monkeypatch.setattr(SeatConstraint, "begin_round", hasty)
     days = (experiment.figures(experiment.play(seed, True, False)) for seed in range(8))
     assert any(found["failed_for_want_of_seat"] for found in days)
 
@@ -464,13 +476,13 @@
 
 def test_settings_and_refusals() -> None:
     found = parse_licences(LICENCES.encode())
-    needs = Needs(found)
-    assert needs.of(spec(jobclass="scan")) == (("ocr", 1),)
-    assert needs.of(spec(jobclass="other")) == ()
-    assert needs.of(spec(jobclass="other", licences={"ocr": 2})) == (("ocr", 2),)
-    assert needs.refusal(spec(licences={"none": 1})) is not None
-    assert needs.refusal(spec(shape="gang", tasks=4, jobclass="scan")) is not None
-    assert needs.refusal(spec(tasks=400, jobclass="scan")) is None
+    needs = SeatRequirements(found)
+    assert needs.seats_per_task(spec(jobclass="scan")) == (("ocr", 1),)
+    assert needs.seats_per_task(spec(jobclass="other")) == ()
+    assert needs.seats_per_task(spec(jobclass="other", licences={"ocr": 2})) == (("ocr", 2),)
+    assert needs.rejection_reason(spec(licences={"none": 1})) is not None
+    assert needs.rejection_reason(spec(shape="gang", tasks=4, jobclass="scan")) is not None
+    assert needs.rejection_reason(spec(tasks=400, jobclass="scan")) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -11,8 +11,16 @@
 from chalkgrade.experiments import moves as experiment
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.moves import part
-from chalkgrade.moves.optimum import optimum
-from chalkgrade.moves.plan import Place, Problem, Resident, after, arrival, may_go, plan
+from chalkgrade.moves.integer_program import optimal_move_cost
+from chalkgrade.moves.planner import (
+    MachineState,
+    MovableTask,
+    PlacementProblem,
+    apply_plan,
+    find_plan,
+    image_fetch_cost,
+    is_target_allowed,
+)
 from chalkgrade.moves.settings import parse_moves
 from chalkgrade.region.rules import Broken
 from chalkgrade.settings import SettingsError
@@ -21,7 +29,7 @@
 POOLS = (("big", "a", True), ("small", "a", True))
 
 
-def _problem(rng: random.Random) -> Problem:
+def _problem(rng: random.Random) -> PlacementProblem:
     """A few machines, so that all ways can be tried."""
     places = []
     for number in range(rng.randrange(2, 5)):
@@ -39,14 +47,14 @@
                     frozenset(rng.sample(POOLS, rng.choice([1, 2]))),
                 )
                 loss, image = rng.uniform(1.0, 9.0), f"i{rng.randrange(2)}"
-                residents.append(Resident(name, 1, room, loss, image, 1.0, allowed))
+                residents.append(MovableTask(name, 1, room, loss, image, 1.0, allowed))
         images = frozenset({"i0"} if rng.random() < 0.5 else ())
-        places.append(Place(f"m{number}", pool, total, free, images, 0.5, tuple(residents)))
+        places.append(MachineState(f"m{number}", pool, total, free, images, 0.5, tuple(residents)))
     others = ((4.0, 0.0, 4.0),) if rng.random() < 0.3 else ()
-    return Problem((6.0, 0.0, 10.0), frozenset(POOLS), tuple(places), others)
+    return PlacementProblem((6.0, 0.0, 10.0), frozenset(POOLS), tuple(places), others)
 
 
-def _brute(problem: Problem) -> float | None:
+def _brute(problem: PlacementProblem) -> float | None:
     """The least cost by trying every set of residents on every way to place them."""
     best: float | None = None
     for host in problem.places:
@@ -60,12 +68,12 @@
                 if target is None:
                     continue
                 left = free[target.name]
-                if not may_go(resident, target, left, problem.others):
+                if not is_target_allowed(resident, target, left, problem.others):
                     good = False
                     break
                 free[target.name] = minus(left, resident.room)
                 freed = plus(freed, resident.room)
-                cost += resident.loss + arrival(resident, target)
+                cost += resident.loss + image_fetch_cost(resident, target)
             if good and fits(problem.room, freed) and (best is None or cost < best):
                 best = cost
     return best
@@ -78,9 +86,9 @@
         problem = _problem(rng)
         if any(fits(problem.room, place.free) for place in problem.places):
             continue
-        best, found = _brute(problem), plan(problem)
+        best, found = _brute(problem), find_plan(problem)
         if not problem.others:
-            least = optimum(problem)
+            least = optimal_move_cost(problem)
             assert (least is None) == (best is None)
             assert best is None or least == pytest.approx(best, abs=1e-6)
         if best is None:
@@ -91,7 +99,7 @@
             continue
         assert found.cost >= best - 1e-6
         equal += found.cost <= best * 1.05 + 1e-6
-        done = after(problem, found)
+        done = apply_plan(problem, found)
         assert all(min(place.free) >= -1e-9 for place in done.places)
         host = next(place for place in problem.places if place.name == found.host)
         freed = host.free
@@ -106,12 +114,12 @@
 def test_a_plan_is_bounded_and_valid_at_any_size(machines: int, seed: int, steps: int) -> None:
     """However few steps it has, what it says can be carried out, or it says nothing."""
     problem = experiment.state(machines, seed)
-    found = plan(problem, steps)
+    found = find_plan(problem, steps)
     if found is None:
         return
     assert len({move.resident.task for move in found.moves}) == len(found.moves)
     assert all(move.source == found.host != move.target for move in found.moves)
-    assert all(min(place.free) >= -1e-9 for place in after(problem, found).places)
+    assert all(min(place.free) >= -1e-9 for place in apply_plan(problem, found).places)
 
 
 SEEDS = range(3)
@@ -134,7 +142,7 @@
 
     def seen(self: part.Moves, job: Any, found: Any, *times: float) -> None:
         for move in found.moves:
-            spec = self.book.jobs[move.resident.task.rpartition("/")[0]].spec
+            spec = self.registry.jobs[move.resident.task.rpartition("/")[0]].spec
             moved[spec.nameId] = spec.shape
             assert spec.shape == "service" or (
                 spec.savepointS > 0 and spec.urgency_rank < job.spec.urgency_rank
@@ -158,8 +166,8 @@
 
     def hasty(self: part.Moves) -> None:
         plain(self)
-        for move in self._all():
-            attempt = self._at_source(move)
+        for move in self._open_moves():
+            attempt = self._attempt_at_source(move)
             if attempt is not None and attempt.kill_requested_at is not None:
                 self.fleet.machines[move.source].detach(attempt)
                 attempt.job.finish(attempt, False)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,7 +11,7 @@
 
 from chalkgrade.pipelines import part as pipelines_part
 from chalkgrade.pipelines.graph import Graph
-from chalkgrade.pipelines.slack import inherit
+from chalkgrade.pipelines.slack import propagate_requirements
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.record.registry import JobRegistry
@@ -60,7 +60,7 @@
             if name in self.started:
                 self.jobs[name].page_of(0)
         for job in list(self.jobs.values()):
-            self.graph.enter(job, 0.0)
+            self.graph.add_job(job, 0.0)
 
     @rule(data=st.data(), count=st.integers(0, 4))
     def submit(self, data: st.DataObject, count: int) -> None:
@@ -70,7 +70,7 @@
         waits = data.draw(some) if known else []
         self.named[name] = waits
         self.jobs[name] = _job(name, waits, self.log)
-        self.graph.enter(self.jobs[name], 0.0)
+        self.graph.add_job(self.jobs[name], 0.0)
 
     def free(self) -> list[str]:
         return sorted(n for n, job in self.jobs.items() if not job.is_blocked and not job.aborted)
@@ -88,8 +88,8 @@
         self.ends[name] = status
         job = self.jobs.pop(name)
         self.over[name] = status
-        self.graph.left(job)
-        self.graph.settle(name, status, 5.0)
+        self.graph.remove_ended_job(job)
+        self.graph.job_ended(name, status, 5.0)
 
     @precondition(lambda self: self.jobs)
     @rule(data=st.data(), end=st.booleans())
@@ -97,7 +97,7 @@
         name = data.draw(st.sampled_from(sorted(self.jobs)))
         self.aborts.add(name)
         self.jobs[name].aborted = True
-        self.graph.aborted(self.jobs[name])
+        self.graph.job_aborted(self.jobs[name])
         if end:
             self.finish(name, "withdrawn")
 
@@ -111,12 +111,12 @@
     def takeover(self) -> None:
         self.lead()
 
-    @precondition(lambda self: self.graph.unknown)
+    @precondition(lambda self: self.graph.unresolved)
     @rule(data=st.data())
     def read(self, data: st.DataObject) -> None:
-        name = data.draw(st.sampled_from(sorted(self.graph.unknown)))
+        name = data.draw(st.sampled_from(sorted(self.graph.unresolved)))
         if name in self.ends:
-            self.graph.settle(name, self.ends[name], 5.0)
+            self.graph.job_ended(name, self.ends[name], 5.0)
 
     def doomed(self, name: str) -> bool:
         """Something before it is cancelled, as far as durable facts say."""
@@ -132,7 +132,7 @@
             waits = [b for b in self.named[name] if self.ends.get(b) != "done"]
             if not job.is_blocked:
                 assert not waits, f"{name} may run, {waits} are not done"
-            elif not job.aborted and self.graph.sure(job):
+            elif not job.aborted and self.graph.is_cancellation_known(job):
                 assert not self.doomed(name), f"{name} is not cancelled with what it needs"
                 assert waits, f"{name} waits for nothing"
             if job.aborted:
@@ -157,7 +157,7 @@
     }
     graph = Graph(made, {}, lambda job: None, lambda job: None)
     for job in made.values():
-        graph.enter(job, 0.0)
+        graph.add_job(job, 0.0)
 
     def dues(job: Job) -> list[float]:
         return (
@@ -166,18 +166,18 @@
             else [job.accepted_at + job.spec.dueS, job.accepted_at + 2 * job.spec.dueS]
         )
 
-    inherit(graph, dues, lambda job: 10.0)
+    propagate_requirements(graph, dues, lambda job: 10.0)
     assert made["run-1"].due_times == [80.0, 180.0] and made["run-2"].due_times == [90.0, 190.0]
     assert [job.spec.urgency for job in made.values()] == ["prod", "high", "high", "prod"]
     assert made["run-1"].submitted_spec.urgency == "best_effort"  # what is on record stays
     made["run-4"].aborted = True
-    inherit(graph, dues, lambda job: 10.0)
+    propagate_requirements(graph, dues, lambda job: 10.0)
     assert made["run-1"].spec.urgency == "high"
     made["run-3"].aborted = True
-    inherit(graph, dues, lambda job: 10.0)
+    propagate_requirements(graph, dues, lambda job: 10.0)
     assert made["run-1"].spec.urgency == "standard" and made["run-1"].due_times is None
-    graph.left(made["run-2"])  # over before anything was worked out anew
-    graph.left(made["run-4"])
+    graph.remove_ended_job(made["run-2"])  # over before anything was worked out anew
+    graph.remove_ended_job(made["run-4"])
     assert made["run-1"].spec.urgency == "best_effort"
 
 
@@ -450,23 +450,23 @@
 
 
 def _cascade_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Graph.enter
+    plain = Graph.add_job
 
     def enter(self: Graph, job: Job, now: float) -> None:
         plain(self, job, now)
-        for name in list(self.unknown):  # as if whoever is over had been done
-            self.settle(name, "done", now)
+        for name in list(self.unresolved):  # as if whoever is over had been done
+            self.job_ended(name, "done", now)
 
-    monkeypatch.setattr(Graph, "enter", enter)
+    monkeypatch.setattr(Graph, "add_job", enter)
 
 
 def _not_held(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Job, "block", lambda self: None)
-    monkeypatch.setattr(pipelines_part._Ready, "is_ready", lambda self, job: True)
+    monkeypatch.setattr(pipelines_part._DependencyConstraint, "is_ready", lambda self, job: True)
 
 
 def _never_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Graph, "_cancel", lambda self, job: None)
+    monkeypatch.setattr(Graph, "_cancel_with_successors", lambda self, job: None)
 
 
 @pytest.mark.parametrize(
@@ -489,9 +489,9 @@
 
 
 def test_a_wanted_urgency_never_given_back_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check of the unit above fails on an `inherit` that only ever raises."""
+    """The check of the unit above fails on an `propagate_requirements` that only ever raises."""
     kept: dict[str, JobSpec] = {}
-    plain = inherit
+    plain = propagate_requirements
 
     def raises(graph: Graph, dues: Any, takes: Any) -> None:
         plain(graph, dues, takes)
@@ -500,6 +500,6 @@
                 job.spec = kept[name]
             kept[name] = job.spec
 
-    monkeypatch.setitem(globals(), "inherit", raises)
+    monkeypatch.setitem(globals(), "propagate_requirements", raises)
     with pytest.raises(AssertionError):
         test_urgency_and_deadline_are_taken_from_successors_and_given_back()
