--- a/src/chalkgrade/moves/__init__.py
+++ b/src/chalkgrade/moves/__init__.py
@@ -1,5 +1,5 @@
-"""Defragmentation: movable small work goes elsewhere so that a large task fits (docs/moves.md).
+"""Defragmentation: moves small tasks to other machines so that a large task fits (docs/moves.md).
 
-Ask `plan` (pure) what to move where, `optimum` for the best there could be (offline),
-`part` to carry plans out within a term. Switched on by deploy/moves.xml.
+`planner` is pure and decides what to move where, `integer_program` computes the optimum for
+experiments, and `part` carries plans out within a term. Enabled by deploy/moves.xml.
 """
--- a/src/chalkgrade/moves/integer_program.py
+++ b/src/chalkgrade/moves/integer_program.py
@@ -1,4 +1,4 @@
-"""The best plan there is, by an integer program: for experiments, never in the daemon."""
+"""The optimal plan by an integer program; for experiments, never used by the daemon."""
 
 import numpy as np
 from scipy.optimize import Bounds, LinearConstraint, milp
@@ -14,11 +14,11 @@
 
 
 def optimal_move_cost(problem: PlacementProblem) -> float | None:
-    """The least cost in CPU-seconds, None where there is no plan; solved by HiGHS.
+    """Returns the least cost in CPU-seconds, or None if there is no plan; solved with HiGHS.
 
-    One host is chosen; a resident leaves only the host; targets keep room for all that
-    come. Targets that hold room for other waiting work are out as in `plan.may_go`,
-    taken resident by resident.
+    One host is chosen, tasks are moved only away from that host, and every target must have
+    room for all tasks that are moved to it. A target that would lose the room of other waiting
+    work is excluded as in `planner.is_target_allowed`, for each moved task on its own.
     """
     hosts = [
         place
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -1,9 +1,9 @@
-"""Carrying plans out: a wanted state that lasts across leaders, and the loop towards it.
+"""Carries out plans of moves: a stored desired state and the loop that works towards it.
 
-A plan is durable before anything is stopped for it. Where a task is follows from the
-record of attempts alone, so that a new leader goes on wherever the last one stopped: a
-move whose task is still at its source is stopped there, one that is over is started at
-its target, one that runs anywhere else is settled.
+A plan is durable before any task is stopped for it. Where a task is follows from the record of
+attempts alone, so that a new leader continues where the previous one stopped: a task that is
+still at its source is stopped there, a task that has stopped is started at its target, and a
+move whose task runs anywhere else is complete.
 """
 
 import asyncio
@@ -39,7 +39,11 @@
 
 
 class MoveRecord(msgspec.Struct):
-    """One task on its way: `home_until` is set once it has stopped (wall time, s)."""
+    """The move of one task.
+
+    `home_until` is set once the task has stopped: the wall time (s) until which its room at
+    the target is reserved.
+    """
 
     job: str
     index: int
@@ -50,7 +54,7 @@
 
 
 class PlanRecord(msgspec.Struct):
-    """Room for one task of a large job on a host, until a wall time."""
+    """A plan that frees a host for one task of a large job; it expires at a wall time."""
 
     job: str
     host: str
@@ -59,14 +63,14 @@
 
 
 class MovesValue(msgspec.Struct):
-    """The value under cg/moves: plans under way, and stopped tasks of dropped ones."""
+    """The value of the key cg/moves: open plans, and stopped tasks of closed plans."""
 
     plans: list[PlanRecord] = []
     homes: list[MoveRecord] = []
 
 
 class MoveConstraint(StartConstraint):
-    """Keeps freed room for its large job, and targets for the tasks that come."""
+    """Reserves the freed room for the large job, and room at targets for the moved tasks."""
 
     def __init__(self, part: "Moves") -> None:
         self._part = part
@@ -86,7 +90,7 @@
             self.reserved_resources.setdefault(move.target, []).append((move.job, room))
 
     def unreserved_resources(self, job: Job, slot: Slot) -> Vector:
-        """What is free on a machine beyond what is kept on it for others."""
+        """Returns the free resources of a machine less those reserved on it for other jobs."""
         free = slot.free
         for owner, room in self.reserved_resources.get(slot.name, ()):
             if owner != job.name:
@@ -99,7 +103,7 @@
         )
 
     def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
-        """Stopped tasks start at their targets before anything else is placed."""
+        """Yields the stopped tasks, which start at their targets before other tasks are placed."""
         for move in self._part.pending_moves():
             if move.home_until:
                 yield self._part.registry.jobs[move.job], move.index, move.target
@@ -109,49 +113,53 @@
 
 
 class Moves(Component):
-    """Plans and carries out moves under one token."""
+    """Plans and carries out moves within one term."""
 
-    planner = staticmethod(find_plans)  # the planner
+    planner = staticmethod(find_plans)  # replaceable, so that experiments can record the plans
 
     def __init__(
         self,
-        domain: TermContext,
+        term_context: TermContext,
         settings: MoveSettings,
         renter: Renter,
-        able: Callable[[Job, int], int],
-        ties: Callable[[Job], bool],
+        max_demand: Callable[[Job, int], int],
+        holds_scarce_resource: Callable[[Job], bool],
     ) -> None:
-        self.term_context = domain
+        self.term_context = term_context
         self.settings = settings
         self.renter = renter
-        self.max_demand = able
-        self.holds_scarce_resource = ties
-        self.clock = domain.context.clock
-        self.registry = domain.registry
-        self.fleet = domain.fleet
+        self.max_demand = max_demand
+        self.holds_scarce_resource = holds_scarce_resource
+        self.clock = term_context.context.clock
+        self.registry = term_context.registry
+        self.fleet = term_context.fleet
         self.value = MovesValue()
         self.persisted_value = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
         self.persisted_values = [self.persisted_value]
         self.constraint = MoveConstraint(self)
         self.start_constraints = [self.constraint]
         self.decision_loops = [self.run]
-        self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
+        self.moved_at: dict[
+            tuple[str, int], float
+        ] = {}  # (job, index) -> wall time of the last move
         rate = settings.per_minute / 60
         self.budget = Bucket(self.clock, rate, settings.per_minute)
-        self.planned_at: dict[object, float] = {}  # shape of work -> when a plan was looked for
-        self.plan_outcomes: dict[str, int] = {}  # by what came of them
+        self.planned_at: dict[
+            object, float
+        ] = {}  # constraints and urgency -> time of the last search
+        self.plan_outcomes: dict[str, int] = {}  # closed plans by outcome
         self.stops_by_cause: dict[str, int] = {}
 
     def _load(self, raw: bytes) -> None:
         self.value = msgspec.json.decode(raw, type=MovesValue)
 
-    # -- what is under way -------------------------------------------------------------
+    # -- open plans -------------------------------------------------------------
 
     def _open_moves(self) -> list[MoveRecord]:
         return [*(move for plan in self.value.plans for move in plan.moves), *self.value.homes]
 
     def pending_moves(self) -> list[MoveRecord]:
-        """Moves whose task is at its source, or waits to start at its target."""
+        """Returns moves whose task is still at its source or waits to start at its target."""
         out = []
         for move in self._open_moves():
             job = self.registry.jobs.get(move.job)
@@ -186,31 +194,34 @@
                     self.registry.flush_wanted.set()
 
     def _advance(self) -> None:
-        """Work out for each plan what is left of it; stop what is still at its source."""
+        """Closes plans that have an outcome; of open plans, stops tasks still at their source."""
         wall = self.clock.wall()
         for plan in list(self.value.plans):
             outcome = self._outcome(plan, wall)
             if outcome:
                 self._close(plan, outcome)
-            elif not self.persisted_value.is_dirty:  # durable before anything is stopped for it
+            elif (
+                not self.persisted_value.is_dirty
+            ):  # a plan is durable before a task is stopped for it
                 for move in plan.moves:
                     attempt = self._attempt_at_source(move)
                     if attempt is not None and attempt.kill_requested_at is None:
                         attempt.kill_requested_at = self.clock.now()
                         what = about(self.fleet.token, move.job, move.source, attempt.label)
-                        log.info("moving %s to %s", attempt.label, move.target, extra=what)
+                        log.info("move started: %s to %s", attempt.label, move.target, extra=what)
         homes = [m for m in self.pending_moves() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
             self.persisted_value.mark_changed()
 
     def _attempt_at_source(self, move: MoveRecord) -> Attempt | None:
+        """Returns the attempt that is to be moved if it is still at its source."""
         job = self.registry.jobs.get(move.job)
         attempt = job.live.get(move.index) if job is not None else None
         return attempt if attempt is not None and attempt.number == move.number else None
 
     def _outcome(self, plan: PlanRecord, wall: float) -> str:
-        """What came of a plan, or nothing while it is under way."""
+        """Returns the outcome of a plan, or an empty string while it is open."""
         job = self.registry.jobs.get(plan.job)
         if job is None or job.aborted or job.aborting:
             return "not needed"
@@ -231,10 +242,10 @@
         return ""
 
     def _close(self, plan: PlanRecord, outcome: str) -> None:
-        """Drop a plan: what was stopped goes on to its target, what was not stays."""
+        """Closes a plan. Tasks that were stopped still go to their targets, the others stay."""
         self.plan_outcomes[outcome] = self.plan_outcomes.get(outcome, 0) + 1
         log.info(
-            "plan for %s on %s: %s",
+            "plan closed: for %s on %s: %s",
             plan.job,
             plan.host,
             outcome,
@@ -246,24 +257,24 @@
             attempt = self._attempt_at_source(move)
             if attempt is not None and not attempt.kill_sent:
                 if not (attempt.job.aborted or attempt.job.aborting):
-                    attempt.kill_requested_at = None  # nobody told it to stop yet
+                    attempt.kill_requested_at = None  # the stop was not sent yet
                 continue
             move.home_until = move.home_until or (until if attempt is None else 0.0)
             if attempt is None or attempt.kill_sent:
                 self.value.homes.append(move)
         self.persisted_value.mark_changed()
 
-    # -- looking for plans ---------------------------------------------------------------
+    # -- planning ---------------------------------------------------------------
 
     def _plan_next_job(self) -> None:
-        """A plan for the first large job that gains by one."""
+        """Searches a plan for the first waiting job whose last search is long enough ago."""
         jobs = sorted(
             (job for job in self.registry.jobs.values() if self._is_candidate(job)),
             key=self.term_context.queues.scheduling_key,
         )
         if not jobs:
             return
-        # What fits some machine as it is needs no plan, only its turn.
+        # A job that fits some machine needs no plan: it only waits for its turn.
         now = self.clock.now()
         least = min(job.spec.vcpus for job in jobs)
         floor = ClusterSnapshot(
@@ -271,8 +282,9 @@
         )
         slots = floor.all_slots()
         for job in jobs:
-            # One search a look, and each shape of work now and then: a search costs more
-            # than a round, and what found no plan finds none a moment later.
+            # One search per call, and for each shape of work only once per MOVE_RETRY_S: a search
+            # costs more than a scheduling round, and one that found no plan would find none
+            # a moment later either.
             key = (job.spec.machine_constraints, job.spec.urgency_rank)
             if now - self.planned_at.get(key, -1e9) >= constants.MOVE_RETRY_S:
                 self.planned_at[key] = now
@@ -280,6 +292,7 @@
                 return
 
     def _is_candidate(self, job: Job) -> bool:
+        """Tells whether a job may get a plan: it waits long enough and may start a task."""
         spec = job.spec
         if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
@@ -293,7 +306,7 @@
         return self.max_demand(job, 1) > 0
 
     def _plan_for_job(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
-        """Look for a plan for one task, or all of a gang, and adopt it if it gains."""
+        """Searches a plan for one task, or for all of a gang, and adopts it if it pays off."""
         spec = job.spec
         fitting = [s for s in slots if self._can_host(job, s)]
         if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
@@ -304,11 +317,11 @@
         maxima.begin_round(self.registry.jobs.values(), self.clock.now())
         if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
             return
-        # Less urgent work takes what it finds; nothing is kept open for it.
+        # Room is preserved only for work of at least the same urgency.
         mates = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
         others = {mate.resources for mate in mates if mate.resources != spec.resources}
         pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
-        # Only for a few hosts need be known who could leave them: those that lack least.
+        # Movable tasks are determined only on a few hosts, those with most free CPUs.
         hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
         names = {slot.name for slot in hosts}
         places = tuple(self._machine_state(job, slot, slot.name in names) for slot in slots)
@@ -331,10 +344,10 @@
         return may_use_machine(spec, *pool) and fits(spec.resources, slot.total)
 
     def _rental_wait_s(self, job: Job) -> float:
-        """How long until a rented machine could start it; infinite where none is coming.
+        """Returns the time until a machine that boots could run the job; infinite without one.
 
-        What can be had at a price worth it is asked for within a moment of the job's
-        coming, so that only machines on their way count.
+        Machines that are worth their price are requested shortly after the job is submitted,
+        so that only machines that are already booting count.
         """
         now, best = self.clock.now(), float("inf")
         for machine in self.fleet.machines.values():
@@ -348,13 +361,16 @@
         return best
 
     def _plan_duration_s(self, plan: Plan) -> float:
-        """From now until the large task can be launched: stops, saves, reports."""
+        """Returns the seconds until the large task can start: stops, saves and reports."""
         jobs = [self.registry.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
         saves = max(job.spec.flushS for job in jobs)
         return saves + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
 
     def _machine_state(self, job: Job, slot: Slot, host: bool) -> MachineState:
-        """A machine as the planner sees it; room that is kept on it is not free."""
+        """Returns a machine for the planner; resources reserved on it are not free.
+
+        Only a `host` gets its movable tasks.
+        """
         machine = self.fleet.machines[slot.name]
         residents = [
             self._movable_task(attempt, machine)
@@ -369,9 +385,10 @@
         )
 
     def _is_movable(self, attempt: Attempt, job: Job) -> bool:
-        """Only what the rules of preemption let be stopped, and loses little by it.
+        """Tells whether a task may be moved for a job.
 
-        Less urgent work that saves, and replicas, which may be stopped to be moved.
+        These are tasks that preemption may stop and that lose little: batch tasks of lower
+        urgency that write savepoints, and service replicas, which may be stopped to be moved.
         """
         spec = attempt.job.spec
         moved = self.moved_at.get((attempt.job.name, attempt.index), -1e18)
@@ -397,7 +414,9 @@
 
     def _movable_task(self, attempt: Attempt, machine: Machine) -> MovableTask:
         spec = attempt.job.spec
-        tied = spec.oneZone or spec.spread  # its mates' zones allow it where it is
+        tied = (
+            spec.oneZone or spec.spread
+        )  # the zones of its other tasks permit only its present zone
         pools: set[Pool] = {
             (flavor.sku, site, spot)
             for flavor in self.term_context.flavors.values()
@@ -423,7 +442,7 @@
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
         self.persisted_value.mark_changed()
         log.info(
-            "plan for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
+            "plan adopted: for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
             job.name,
             plan.host,
             len(moves),
@@ -444,5 +463,5 @@
 
 
 def join(own: MoveSettings, joint: Joint) -> Moves:
-    """The table of subsystems asks for this."""
+    """Creates the component; called through the table in `extensions.subsystems`."""
     return Moves(joint.domain, own, joint.renter, joint.able, joint.ties)
--- a/src/chalkgrade/moves/planner.py
+++ b/src/chalkgrade/moves/planner.py
@@ -1,7 +1,8 @@
-"""What to move where so that a large task fits one machine. Pure, and bounded in steps.
+"""Decides which tasks to move where so that a large task fits one machine.
 
-A plan takes residents of one host to other machines. Its cost is in CPU-seconds: what
-stopping loses, and what the CPUs idle for while images are fetched at the target.
+The search has no side effects, and its number of steps is bounded. A plan moves tasks of one
+host to other machines. Its cost is in CPU-seconds: the work that is lost by stopping the tasks,
+and the time for which their CPUs are idle while images are fetched at the targets.
 """
 
 import heapq
@@ -16,19 +17,19 @@
 
 
 class MovableTask(msgspec.Struct, frozen=True):
-    """A task that may be moved."""
+    """A task that may be moved, with the pools in which it may run."""
 
     task: str
     number: int
     room: Vector
-    loss: float  # CPU-seconds lost by its stop, the save included
+    loss: float  # CPU-seconds lost by stopping it, including its save
     bundle: str
     gb: float
-    pools: frozenset[Pool]  # where it may run
+    pools: frozenset[Pool]  # pools in which it may run
 
 
 class MachineState(msgspec.Struct, frozen=True):
-    """A machine: what is free on it, and who could leave it."""
+    """A machine with its free resources and the tasks that could be moved away from it."""
 
     name: str
     pool: Pool
@@ -40,16 +41,18 @@
 
 
 class PlacementProblem(msgspec.Struct, frozen=True):
-    """A large task that fits nowhere now."""
+    """A large task that fits no machine at present, and the machines of the cluster."""
 
     room: Vector
     pools: frozenset[Pool]
     places: tuple[MachineState, ...]
-    others: tuple[Vector, ...] = ()  # rooms of other work that waits: no new fragments for it
+    others: tuple[Vector, ...] = ()  # resources of other waiting tasks, whose room must not be lost
 
 
 @dataclass(frozen=True)
 class Move:
+    """One task of a plan with its source and target machine."""
+
     resident: MovableTask
     source: str
     target: str
@@ -58,16 +61,19 @@
 
 @dataclass(frozen=True)
 class Plan:
+    """The moves that make room for the large task on a host."""
+
     host: str
     moves: tuple[Move, ...]
 
     @property
     def cost(self) -> float:
+        """CPU-seconds of all moves together."""
         return sum(move.cost for move in self.moves)
 
 
 def image_fetch_cost(resident: MovableTask, place: MachineState) -> float:
-    """CPU-seconds that its CPUs idle at a target while the image is fetched."""
+    """Returns the CPU-seconds for which a task is idle at a target while its image is fetched."""
     if not resident.gb or resident.bundle in place.images:
         return 0.0
     return resident.gb / max(place.pull_gb_s, EPS) * resident.room[0]
@@ -76,7 +82,7 @@
 def is_target_allowed(
     resident: MovableTask, place: MachineState, free: Vector, others: Iterable[Vector]
 ) -> bool:
-    """Whether a target takes it without losing the room that other waiting work needs."""
+    """Tells whether a target has room for a task without losing the room of other waiting tasks."""
     if place.pool not in resident.pools or not fits(resident.room, free):
         return False
     after = minus(free, resident.room)
@@ -84,30 +90,31 @@
 
 
 def missing_resources(problem: PlacementProblem, place: MachineState) -> Vector:
-    """What a host has too little of for the large task."""
+    """Returns the resources that a host lacks for the large task."""
     return tuple(max(0.0, n - f) for n, f in zip(problem.room, place.free, strict=True))
 
 
 @dataclass
 class _HostSearch:
-    """Branch and bound over which residents of one host leave it."""
+    """Branch and bound over the sets of tasks that are moved away from one host."""
 
     problem: PlacementProblem
     host: MachineState
     best: Plan | None
     steps: int
-    open: list[MachineState]  # where anybody could go
+    open: list[MachineState]  # machines with free CPUs that are considered as targets
     leave: list[tuple[float, MovableTask]] = field(
         default_factory=list
-    )  # least cost, the best first
+    )  # least cost and task, best first
     targets: dict[str, list[tuple[float, MachineState]]] = field(default_factory=dict)
 
     def run(self) -> None:
+        """Searches within the steps that are left and updates `best` and `steps`."""
         self._rank_candidates()
         self._branch(0, missing_resources(self.problem, self.host), 0.0, [])
 
     def _rank_candidates(self) -> None:
-        """For each resident the targets that are cheapest, the tightest first among equals."""
+        """Finds the cheapest targets of each task; of equal cost, those with least free CPUs."""
         for resident in self.host.residents:
             found = sorted(
                 (
@@ -122,7 +129,7 @@
                 self.targets[resident.task] = [(row[0], row[3]) for row in found]
                 self.leave.append((resident.loss + found[0][0], resident))
         lack = missing_resources(self.problem, self.host)
-        # What frees most of what lacks for its cost is tried first.
+        # Tasks that free the largest share of the missing resources for their cost come first.
         self.leave.sort(
             key=lambda row: (row[0] / max(_useful_share(row[1], lack), EPS), row[1].task)
         )
@@ -148,7 +155,7 @@
         return self.best.cost - EPS if self.best is not None else float("inf")
 
     def _assign_targets(self, chosen: list[MovableTask]) -> None:
-        """Targets for those who leave: the largest first, each where it costs least."""
+        """Assigns targets to the chosen tasks, largest first, each where it costs least."""
         free: dict[str, Vector] = {}
         moves: list[Move] = []
         for resident in sorted(chosen, key=lambda r: (-r.room[0], -r.room[2], r.task)):
@@ -166,14 +173,17 @@
 
 
 def _useful_share(resident: MovableTask, lack: Vector) -> float:
-    """How much of what lacks it frees, as a part of it, the scarcest counted."""
+    """Returns the largest share of a missing resource that moving the task would free."""
     return max(
         (min(r, a) / a for r, a in zip(resident.room, lack, strict=True) if a > EPS), default=0.0
     )
 
 
 def _cost_lower_bound(leave: list[tuple[float, MovableTask]], lack: Vector) -> float:
-    """A lower bound: parts of residents, the cheapest first, for the resource that costs most."""
+    """Returns a lower bound of the cost of freeing the missing resources.
+
+    Tasks are taken in fractions, cheapest first, for the resource that costs most.
+    """
     worst = 0.0
     for kind, amount in enumerate(lack):
         if amount <= EPS:
@@ -194,7 +204,7 @@
 
 
 def find_plan(problem: PlacementProblem, steps: int = constants.MOVE_STEPS) -> Plan | None:
-    """The least costly plan found within so many steps of search; None: no plan.
+    """Returns the cheapest plan found within a number of search steps, or None.
 
     Hosts are searched in the order of their lower bounds, so that most need no search.
     """
@@ -203,12 +213,12 @@
     for place in problem.places:
         every = plus(every, place.free)
     if not fits(problem.room, every):
-        return None  # what has to leave would find no room anywhere
+        return None  # the free resources of all machines together are too little
     for place in problem.places:
         if place.pool not in problem.pools or not fits(problem.room, place.total):
             continue
         if fits(problem.room, place.free):
-            return None  # it fits already
+            return None  # the task fits already
         freed = place.free
         for resident in place.residents:
             freed = plus(freed, resident.room)
@@ -217,7 +227,7 @@
             hosts.append(
                 (_cost_lower_bound(rows, missing_resources(problem, place)), place.name, place)
             )
-    # Of many targets the tightest are enough: gaps are filled, whole machines stay whole.
+    # The targets with least free CPUs suffice: this fills gaps and keeps empty machines empty.
     gaps = (place for place in problem.places if place.free[0] > EPS)
     tightest = heapq.nsmallest(
         constants.MOVE_OPEN, gaps, key=lambda place: (place.free[0], place.name)
@@ -235,7 +245,7 @@
 
 
 def apply_plan(problem: PlacementProblem, found: Plan) -> PlacementProblem:
-    """The machines once a plan is carried out and its large task runs."""
+    """Returns the problem with the machines as they are once a plan is done and its task runs."""
     places = {place.name: place for place in problem.places}
     for move in found.moves:
         source, target = places[move.source], places[move.target]
@@ -252,7 +262,10 @@
 
 
 def find_plans(problem: PlacementProblem, count: int) -> list[Plan]:
-    """Plans for several tasks that start together (a gang), or none; one is the usual case."""
+    """Returns plans for `count` tasks that start together (a gang), or an empty list.
+
+    A task that fits without a move needs no plan. Jobs other than gangs use a count of 1.
+    """
     out: list[Plan] = []
     for _ in range(count):
         fit = next(
--- a/src/chalkgrade/moves/settings.py
+++ b/src/chalkgrade/moves/settings.py
@@ -1,4 +1,4 @@
-"""The operators' limits of moves."""
+"""The operators' settings of moves."""
 
 from typing import Any
 
@@ -8,24 +8,24 @@
 
 
 class MoveSettings(msgspec.Struct):
-    """Limits of moves; none of this, and nothing is moved."""
+    """Limits of moves. Without the settings file nothing is moved."""
 
-    per_minute: float = 60.0  # tasks that may be moved
-    margin: float = 1.5  # how many times quicker than waiting or renting a plan must be
-    again_s: float = 300.0  # s; a task is not moved again within
-    optout: list[str] = []  # teams whose work is neither moved nor moved for
+    per_minute: float = 60.0  # most tasks moved in a minute
+    margin: float = 1.5  # factor by which a plan must be faster than waiting or renting
+    again_s: float = 300.0  # s; least time between two moves of the same task
+    optout: list[str] = []  # teams whose tasks are not moved and for which nothing is moved
 
 
 MOVE_LIMITS = {"per_minute": (1.0, 6000.0), "margin": (1.0, 100.0), "again_s": (0.0, 86400.0)}
 
 
 def read(text: bytes, platform: Settings) -> MoveSettings:
-    """As the table of subsystems asks for it."""
+    """Parses the file; called through the table in `extensions.subsystems`."""
     return parse_moves(text, {team.name for team in platform.cluster.teams})
 
 
 def parse_moves(text: bytes, teams: set[str]) -> MoveSettings:
-    """Decode and check the operators' limits of moves."""
+    """Decodes and checks the file; SettingsError names the line, the field and the fault."""
     root, lines = read_xml(text, "moves")
     values: dict[str, Any] = {}
     optout: list[str] = []
--- a/src/chalkgrade/pipelines/__init__.py
+++ b/src/chalkgrade/pipelines/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait for others: what is ready, what is cancelled with others, by when it is needed."""
+"""Dependencies of jobs: readiness, cancellation of successors, inherited deadlines and urgency."""
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -1,9 +1,9 @@
-"""Which jobs wait for which: readiness and cancellation, from durable facts only.
+"""The dependency graph: which jobs are ready or cancelled, derived from durable facts only.
 
-A job's predecessors are named in its record and never change; that one of them is over is
-durable before it is told here. So whatever is worked out holds under any later leader too:
-a job whose predecessors are all done stays ready, and one with a cancelled job anywhere
-before it stays cancelled, although its own record does not say so.
+The predecessors of a job are part of its record and never change, and the end of a predecessor
+is durable before it is reported to the graph. The results therefore hold under every later
+leader: a job whose predecessors are all done stays ready, and a job with a cancelled job
+anywhere before it stays cancelled, although its own record does not say so.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -14,7 +14,7 @@
 
 
 class Graph:
-    """The jobs of one term that wait, or are waited for. No input or output."""
+    """The jobs of one term that wait for others or that others wait for. Does no I/O."""
 
     def __init__(
         self,
@@ -23,21 +23,19 @@
         released: Callable[[Job], None],
         cancelled: Callable[[Job], None],
     ) -> None:
-        self.jobs = jobs  # those that are not over
-        self.over = over  # those that ended under this token, and how
-        self.released = released  # all that a job waited for is done
-        self.cancelled = cancelled  # something before it was cancelled
-        self.unfinished_dependencies: dict[
-            str, set[str]
-        ] = {}  # job that is held -> those that are not done yet
-        self.successors: dict[str, dict[str, None]] = {}  # job -> those that name it, not over
-        self.unresolved: dict[str, None] = {}  # named, and in no record here: to be looked up
+        self.jobs = jobs  # unfinished jobs by name
+        self.over = over  # final status of jobs that ended in this term
+        self.released = released  # called when all dependencies of a job are done
+        self.cancelled = cancelled  # called when a job is cancelled with a predecessor
+        self.unfinished_dependencies: dict[str, set[str]] = {}  # blocked job -> jobs not done
+        self.successors: dict[str, dict[str, None]] = {}  # job -> unfinished jobs that name it
+        self.unresolved: dict[str, None] = {}  # named jobs whose end must be read
         self._last_end_at: dict[
             str, float
-        ] = {}  # held job -> wall time of the last end it waited for
+        ] = {}  # blocked job -> wall time of its last dependency's end
 
     def add_job(self, job: Job, now: float) -> None:
-        """A job is known; `now`: wall time. It may have named others, or been named."""
+        """Adds a job, which may name others or be named by others. `now` is the wall time."""
         self.unresolved.pop(job.name, None)
         if job.name in self.unfinished_dependencies or not job.in_pipeline:
             return
@@ -47,7 +45,7 @@
         if not job.is_blocked or job.aborted:
             return
         if job.pages:
-            # An attempt of it is on record: all that it waits for was durably done before.
+            # An attempt is on record, so all dependencies were durably done before.
             job.unblock(job.accepted_at)
             self.released(job)
             return
@@ -64,7 +62,7 @@
                 self._cancel_with_successors(job)
 
     def job_ended(self, name: str, status: str, at: float) -> None:
-        """A job is durably over since wall time `at`."""
+        """Handles the durable end of a job at wall time `at`, with its final status."""
         self.unresolved.pop(name, None)
         self.unfinished_dependencies.pop(name, None)
         self._last_end_at.pop(name, None)
@@ -72,24 +70,25 @@
             self._dependency_ended(heir, name, status, at)
 
     def remove_ended_job(self, job: Job) -> None:
-        """A job is over and no more among `jobs`: nobody is needed by it any more."""
+        """Removes a job that is over, and no longer in `jobs`, from the successors of others."""
         for before in job.submitted_spec.waitsOn or []:
             self._remove_successor(before, job.name)
 
     def job_aborted(self, job: Job) -> None:
-        """A job is durably aborted, by its user."""
+        """Cancels the successors of a job that is durably aborted by its user."""
         self.unfinished_dependencies.pop(job.name, None)
         for heir in self._unfinished_successors(job.name):
             self._cancel_with_successors(heir)
 
     def _remove_successor(self, name: str, heir: str) -> None:
+        """Removes a successor of a job; without any left the job gets its own urgency back."""
         heirs = self.successors.get(name)
         if heirs is not None:
             heirs.pop(heir, None)
             if not heirs:
                 del self.successors[name]
                 job = self.jobs.get(name)
-                if job is not None:  # nobody needs it any more: what it was lent goes back
+                if job is not None:  # no successor is left: drop the inherited urgency and deadline
                     job.spec, job.due_times = job.submitted_spec, None
 
     def _unfinished_successors(self, name: str) -> list[Job]:
@@ -111,7 +110,7 @@
             self.released(job)
 
     def _cancel_with_successors(self, first: Job) -> None:
-        """It and all that need it; none of them has ever started."""
+        """Cancels a blocked job and all its successors, none of which has ever started."""
         stack = [first]
         while stack:
             job = stack.pop()
@@ -124,9 +123,10 @@
             stack += self._unfinished_successors(job.name)
 
     def is_cancellation_known(self, job: Job) -> bool:
-        """Whether it is known that nothing before a job is cancelled, or being cancelled.
+        """Tells whether it is certain that no predecessor of a job is or is being cancelled.
 
-        Else another controller, which reads the record, may know better than we do.
+        If it is not, another controller that reads the record may know of a cancellation that
+        this leader does not know yet.
         """
         stack, seen = [job], {job.name}
         while stack:
@@ -144,10 +144,10 @@
         return True
 
     def ready_within(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
-        """The jobs that may run within so many s as things stand, and in how many; the first first.
+        """Returns blocked jobs that become ready within `within` seconds, with their delay, by delay.
 
-        `ends`: how long a job that may run takes until it is over; s. What waits for a job
-        that waits itself comes later than we look.
+        `ends` returns the seconds until a job that is not blocked is over. Jobs that wait for
+        a blocked job are left out, since they become ready later.
         """
         out = []
         for name, needs in self.unfinished_dependencies.items():
@@ -161,10 +161,10 @@
         return sorted(out, key=lambda row: row[1])
 
     def successors_first(self) -> Iterator[Job]:
-        """All that wait or are waited for, those that nobody waits for first.
+        """Yields the unfinished jobs with dependencies or successors, each after its successors.
 
-        A job names only jobs that were accepted before it, so there is no circle; should a
-        record say otherwise all the same, its jobs come in any order.
+        A job names only jobs that were accepted before it, so there is no cycle. If a record
+        has one all the same, its jobs come in any order.
         """
         order: list[str] = []
         seen: set[str] = set()
--- a/src/chalkgrade/pipelines/integer_program.py
+++ b/src/chalkgrade/pipelines/integer_program.py
@@ -1,7 +1,7 @@
-"""The best that a clairvoyant could do with small pipelines, by an integer program.
+"""The optimal schedule of small pipelines with full knowledge of the future.
 
-For experiments, never in the daemon: time goes in steps, all that will come is known, and
-what runs is not stopped.
+An integer program for experiments, never used by the daemon. Time is divided into steps, all
+arrivals are known in advance, and running tasks are not stopped.
 """
 
 from typing import NamedTuple
@@ -12,25 +12,25 @@
 
 
 class Stage(NamedTuple):
-    """A job of tasks that take one slot each; `steps`: how long one runs."""
+    """A job whose tasks take one slot each and run for `steps` steps."""
 
     tasks: int
     steps: int
-    arrives: int  # the step from which it may start
-    needs: tuple[int, ...] = ()  # stages that are done before, by number
-    due: int | None = None  # the step by whose begin it should be done
+    arrives: int  # first step in which it may start
+    needs: tuple[int, ...] = ()  # numbers of the stages that must be done before
+    due: int | None = None  # step at whose start it should be done
 
 
 def optimal_outcome(
     stages: list[Stage], slots: int, horizon: int, seconds: float
 ) -> tuple[int, int]:
-    """The fewest late stages, and the least makespan that goes with it; steps.
+    """Returns the fewest late stages, and the least makespan in steps among such schedules.
 
-    Raises RuntimeError where the solver (HiGHS) has not proven them in so many seconds.
+    Raises RuntimeError if the solver (HiGHS) has not proven the optimum within `seconds`.
     """
     count, width = len(stages), len(stages) * horizon
     ends = horizon + 1
-    # Columns: starts by stage and step, done by stage and step, late by stage, all done by step.
+    # Columns: starts per stage and step, done per stage and step, late per stage, all done per step.
     done, late, over = width, width + count * ends, width + count * ends + count
     columns = over + ends
     rows: list[tuple[dict[int, float], float, float]] = []
@@ -64,7 +64,7 @@
         rows.append((running, 0.0, float(slots)))
     cost = np.zeros(columns)
     cost[late : late + count] = float(ends)
-    cost[over : over + ends] = -1.0  # each step at which all is over
+    cost[over : over + ends] = -1.0  # rewards each step at which all stages are over
     high = np.ones(columns)
     for number, stage in enumerate(stages):
         for step in range(horizon):
@@ -84,6 +84,6 @@
         options={"time_limit": seconds},
     )
     if found.status != 0:
-        raise RuntimeError(f"not proven in {seconds:g} s: {found.message}")
+        raise RuntimeError(f"optimum not proven in {seconds:g} s: {found.message}")
     overs = int(round(found.x[over : over + ends].sum()))
     return int(round(found.x[late : late + count].sum())), ends - overs
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -1,4 +1,4 @@
-"""Pipelines as a part of a term: holds jobs that wait, lets them go, cancels them."""
+"""The component of a term that blocks, releases and cancels jobs with dependencies."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class _DependencyConstraint(StartConstraint):
-    """Asked by every round: nothing starts that waits for others, and all know how urgent it is."""
+    """Starts no blocked job, and updates inherited deadlines and urgency before each round."""
 
     def __init__(self, part: "Pipelines") -> None:
         self._part = part
@@ -44,40 +44,47 @@
 
 
 class Pipelines(Component):
-    """The graph of one term, and what follows from it."""
+    """The dependency graph of one term, with its release and cancellation of jobs."""
 
     def __init__(
         self,
-        book: JobRegistry,
-        came: Callable[[Job, bool], None],
-        dues: Callable[[Job], list[float]],
-        takes: Callable[[Job], float],
+        registry: JobRegistry,
+        on_job_ready: Callable[[Job, bool], None],
+        due_times: Callable[[Job], list[float]],
+        expected_makespan_s: Callable[[Job], float],
     ) -> None:
-        """`came`: told of jobs that may run now, as of new ones; `dues`, `takes`: see `inherit`."""
-        self.registry = book
-        self.clock = book.clock
-        self.on_job_ready = came
-        self.due_times = dues
-        self.expected_makespan_s = takes
-        self.graph = Graph(book.jobs, book.over, self._on_released, self._on_cancelled)
+        """Sets the callbacks of the registry to this component.
+
+        `on_job_ready` is called with each released job, as with a new one, and with whether it
+        was submitted in this term. For `due_times` and `expected_makespan_s` see
+        `slack.propagate_requirements`.
+        """
+        self.registry = registry
+        self.clock = registry.clock
+        self.on_job_ready = on_job_ready
+        self.due_times = due_times
+        self.expected_makespan_s = expected_makespan_s
+        self.graph = Graph(registry.jobs, registry.over, self._on_released, self._on_cancelled)
         self.start_constraints = [_DependencyConstraint(self)]
         self.decision_loops = [self._resolve_unknown_jobs]
         self.started = False
-        self.submitted_this_term: set[str] = set()  # submitted under this token, and held
-        self.requirements_changed = False  # what jobs inherit is to be worked out anew
-        self.lookup_requested = asyncio.Event()  # something is to be looked up
+        self.submitted_this_term: set[str] = set()  # blocked jobs submitted in this term
+        self.requirements_changed = False  # inherited deadlines and urgency are stale
+        self.lookup_requested = asyncio.Event()  # the graph has unresolved jobs
         self.event_counts: Counter[str] = Counter()
-        book.on_job_ended = self._on_job_ended
-        book.on_job_aborted = self._on_job_aborted
+        registry.on_job_ended = self._on_job_ended
+        registry.on_job_aborted = self._on_job_aborted
 
-    # -- what happens -----------------------------------------------------------------
+    # -- events -----------------------------------------------------------------
 
     def start(self) -> None:
+        """Adds the jobs of the record to the graph."""
         self.started = True
         for job in list(self.registry.jobs.values()):
             self._add_to_graph(job)
 
     def on_job(self, job: Job, fresh: bool) -> None:
+        """Adds a job; `fresh` if it was submitted in this term."""
         if fresh and job.is_blocked:
             self.submitted_this_term.add(job.name)
             names = job.submitted_spec.waitsOn or []
@@ -104,14 +111,14 @@
         if job.due_times:
             left = job.due_times[0] - self.clock.wall() - self.expected_makespan_s(job)
             text = f"needed with {left:.0f} s of slack, as {job.spec.urgency}"
-        log.info("job %s: all that it waited for is done; %s", job.name, text, extra=what)
+        log.info("job %s: released, all its dependencies are done; %s", job.name, text, extra=what)
         self.on_job_ready(job, job.name in self.submitted_this_term)
         self.submitted_this_term.discard(job.name)
 
     def _on_cancelled(self, job: Job) -> None:
         self.event_counts["cancelled"] += 1
         what = about(self.registry.office.token, job.name)
-        log.info("job %s: cancelled with a job before it", job.name, extra=what)
+        log.info("job %s: cancelled together with a predecessor", job.name, extra=what)
         self.requirements_changed = True
         self.submitted_this_term.discard(job.name)
         self.registry.update_ending(job)
@@ -128,25 +135,25 @@
         self.requirements_changed = self.requirements_changed or name in self.graph.successors
         self.graph.job_ended(name, status, at)
 
-    # -- what others ask --------------------------------------------------------------
+    # -- queries --------------------------------------------------------------
 
     def update_requirements(self) -> None:
-        """Work out what jobs inherit, if anything has changed."""
+        """Recomputes inherited deadlines and urgency if anything has changed."""
         if self.requirements_changed:
             self.requirements_changed = False
             propagate_requirements(self.graph, self.due_times, self.expected_makespan_s)
 
     def is_cancellation_known(self, job: Job) -> bool:
-        """Whether a user may be told that a job that waits is not cancelled."""
+        """Tells whether it is certain that a job is or is not cancelled, so that users may be told."""
         return not job.is_blocked or job.aborted or self.graph.is_cancellation_known(job)
 
     # -- jobs that ended before this term -----------------------------------------------
 
     async def _resolve_unknown_jobs(self) -> None:
-        """Read how jobs ended that are named and on no record here. Until then who names waits."""
+        """Reads the final status of named jobs without a record here; jobs that name them wait."""
         pause = constants.STATE_PAUSE_S
         while True:
-            # What is met again waits between two looks; what is named just now does not.
+            # Jobs that stay unresolved are read again after a pause, newly named ones at once.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause if self.graph.unresolved else None):
                     await self.lookup_requested.wait()
@@ -155,7 +162,7 @@
             for begin in range(0, len(names), constants.LOOK_UPS):
                 part = names[begin : begin + constants.LOOK_UPS]
                 await asyncio.gather(*(self._read_end(name) for name in part))
-            # Left: accepted by a node that the leader's watch has yet to tell of, or unreadable.
+            # Still unresolved: not readable, or accepted by a node and not yet seen by the leader's watch.
             unread = bool(self.graph.unresolved)
             pause = min(2 * pause, constants.LOOK_UP_PAUSE_S) if unread else constants.STATE_PAUSE_S
 
@@ -167,7 +174,7 @@
                 self.registry.remember_final_state(name, end.status, end.tasks)
                 self._dependency_ended(name, end.status, end.at)
         except (NoAnswer, NotExecuted, Rejected, msgspec.DecodeError) as error:
-            log.debug("end of %s: %s", name, error)
+            log.debug("final status not read: job %s: %s", name, error)
 
     def samples(self) -> Iterable[Sample]:
         jobs = self.registry.jobs.values()
--- a/src/chalkgrade/pipelines/slack.py
+++ b/src/chalkgrade/pipelines/slack.py
@@ -1,8 +1,8 @@
-"""By when a predecessor is needed, and how urgently: worked out from the last jobs backwards.
+"""Deadlines and urgency that jobs inherit from their successors, by the critical path method.
 
-In the terms of planning by critical path: each job has a latest finish, which lies before
-the latest finish of its successors by what those take; the longest way to a last job is its
-critical path, and what is left of the time until the latest start is its slack.
+The latest finish of a job is the latest finish of its successors less their duration, worked
+out backwards from the last jobs. The longest path to a last job is its critical path, and the
+time left until its latest start is its slack.
 """
 
 from collections.abc import Callable
@@ -16,11 +16,11 @@
 
 
 def propagate_requirements(graph: Graph, own: DueTimes, takes: Callable[[Job], float]) -> None:
-    """Give each predecessor the latest finish and the urgency of those that need it.
+    """Sets the latest finish and the urgency that each job inherits from its successors.
 
-    `own`: wall times by which a job's own deadlines lie, the first one first; `takes`: s from
-    the moment in which a job may run until it is over. A successor that is cancelled passes
-    nothing on, so that what was taken from it is given back.
+    `own` returns the wall times of a job's own deadlines in ascending order. `takes` returns the
+    seconds from the moment a job may run until it is over. A cancelled successor passes nothing
+    on, so a job loses what it inherited from that successor.
     """
     for job in graph.successors_first():
         asked = job.submitted_spec
