--- a/src/chalkgrade/licences/__init__.py
+++ b/src/chalkgrade/licences/__init__.py
@@ -1,5 +1,6 @@
-"""Counted licences: tasks wait for a free seat of their pools (docs/licences.md).
+"""Counted licences: tasks wait for free seats of their licence pools (docs/licences.md).
 
-Ask `needs` which pools a job needs; `seats` is the gate that rounds ask, `stock` deals
-with a licence server, `part` joins them to a term. Switched on by deploy/licences.xml.
+`requirements` tells which pools a job needs, `seat_constraint` is the start constraint that
+scheduling rounds apply, `checkouts` holds seats at a licence server, and `part` joins them to a
+term. Enabled by deploy/licences.xml.
 """
--- a/src/chalkgrade/licences/checkouts.py
+++ b/src/chalkgrade/licences/checkouts.py
@@ -1,11 +1,10 @@
-"""Seats checked out with licence servers: what is held, asked for, and given back.
-
-Checkouts are not tied to tasks: what counts is that we hold at least as many seats as
-our tasks may use. So nothing is written for them: a new leader reads from the server
-which names are ours, and takes them over. A checkout is a promise when its answer has
-come; one whose answer is lost is asked for again under the same name, which checks out
-nothing more. Every request carries the leader's token as a fence: what an earlier
-leader sent late is refused by the server.
+"""Seats checked out from licence servers: held, requested and returned.
+
+Checkouts are not tied to tasks: it suffices to hold at least as many seats as the tasks may use.
+So nothing is stored for them: a new leader reads from the server which names belong to the
+cluster and takes them over. A checkout counts once its answer has come. If the answer is lost,
+the same name is requested again, which checks out no further seat. Every request carries the
+leader's token as a fence, so that the server refuses late requests of earlier leaders.
 """
 
 import asyncio
@@ -25,28 +24,28 @@
 
 
 class HeldSeat(msgspec.Struct):
-    """One seat that somebody holds."""
+    """One held seat in a server's answer."""
 
     holder: str
     name: str
 
 
 class PoolStatus(msgspec.Struct):
-    """GET /pools/POOL."""
+    """The answer to GET /pools/POOL."""
 
     seats: int
     held: list[HeldSeat] = []
 
 
 class SeatGrant(msgspec.Struct):
-    """The answer to a checkout or a renewal: the names that are held, for how long."""
+    """The answer to a checkout or renewal: the names that are held, and for how long."""
 
     names: list[str]
     ttlS: float
 
 
 class PoolCheckouts:
-    """Our seats of one pool of a server."""
+    """The seats of one pool that this cluster holds at the licence server."""
 
     def __init__(
         self,
@@ -55,34 +54,35 @@
         http: Http,
         clock: Clock,
         rng: random.Random,
-        wanted: Callable[[str], int],
+        wanted_seats: Callable[[str], int],
     ) -> None:
         self.pool = pool
         self.token = token
         self.http = http
         self.clock = clock
         self.rng = rng
-        self.wanted_seats = wanted  # seats that our tasks use or would use now
+        self.wanted_seats = wanted_seats  # seats that tasks use or could use at once
         self.budget = Bucket(clock, pool.rps, pool.rps)
-        self.confirmed_until: dict[str, float] = {}  # name -> until when it is surely ours
-        self.unconfirmed: dict[str, None] = {}  # names whose checkout may have been executed
+        self.confirmed_until: dict[str, float] = {}  # name -> time until which it is surely held
+        self.unconfirmed: dict[str, None] = {}  # names that the server may hold for us
         self.surplus_since: float | None = None
         self.last_number = 0
-        self.total_seats = 0  # by the server's last word
-        self.foreign_seats = 0  # held by others
-        self.answered_at = -1e9  # when the server last gave a usable answer
+        self.total_seats = 0  # of the pool, by the server's last status
+        self.foreign_seats = 0  # seats held by others
+        self.answered_at = -1e9  # time of the last usable answer
         self.status_read_at = -1e9
-        self.retry_delay_s = 0.0  # after a failure or refusal; grows
+        self.retry_delay_s = 0.0  # doubles with each failure or refusal
         self.next_step_at = 0.0
         self.response_counts: dict[str, int] = {}
 
     def usable_seats(self) -> UsableSeats:
+        """Returns the seats surely held, and whether the server answered recently."""
         now = self.clock.now()
         mine = sum(until > now for until in self.confirmed_until.values())
         return UsableSeats(mine, now - self.answered_at < constants.SEAT_STALE_S)
 
     async def _request(self, what: str, names: list[str] | None) -> bytes:
-        """One request; NoAnswer for anything but a usable answer, and for a refusal, too."""
+        """Sends one request. Raises NoAnswer if there is no usable answer or the server refuses."""
         await self.budget.wait()
         path = f"/pools/{self.pool.name}" + (f"/{what}" if what else "")
         body = None
@@ -97,31 +97,31 @@
         return reply.body
 
     async def run(self) -> None:
-        """Bring what is held to what is wanted, for ever."""
+        """Adapts the held seats to the wanted number until cancelled."""
         while True:
             await asyncio.sleep(max(constants.SEAT_STEP_S, self.next_step_at - self.clock.now()))
             try:
                 await self.step()
                 self.retry_delay_s = 0.0
             except NoAnswer as error:
-                log.info("licence server: %s", error)
+                log.info("licence server request failed: %s", error)
                 self.backoff()
 
     def backoff(self) -> None:
-        """Come back later each time, not all at once."""
+        """Delays the next step exponentially, with jitter."""
         self.retry_delay_s = min(
             constants.SEAT_PAUSE_MAX_S, max(constants.SEAT_PAUSE_S, 2 * self.retry_delay_s)
         )
         self.next_step_at = self.clock.now() + self.retry_delay_s * self.rng.uniform(0.5, 1.0)
 
     async def step(self) -> None:
-        """Read, renew, check out or return: whatever is due."""
+        """Reads the status, renews, returns and checks out seats as far as due."""
         now = self.clock.now()
         if now - self.status_read_at >= constants.SEAT_READ_S:
             await self._read_status()
         for name in [name for name, until in self.confirmed_until.items() if until <= now]:
             del self.confirmed_until[name]
-            self.unconfirmed[name] = None  # ours no more for sure; the server may still think so
+            self.unconfirmed[name] = None  # expired here, though the server may still hold it
         due = [
             n for n, until in self.confirmed_until.items() if until - now < self._renew_before_s()
         ]
@@ -146,18 +146,19 @@
         return self.pool.timeout_s * (1 - constants.SEAT_RENEW_PART)
 
     async def _read_status(self) -> None:
-        """What the server says: names of ours that an earlier leader held are taken over."""
+        """Reads the status of the pool and takes over the names of earlier leaders."""
         status = decode(await self._request("", None), PoolStatus)
         self.status_read_at = self.answered_at = self.clock.now()
         self.total_seats = status.seats
         ours = {held.name for held in status.held if held.holder == self.pool.holder}
         self.foreign_seats = len(status.held) - len(ours)
-        # What the list has and we have not, or the other way round, is settled by a renewal
-        # at once: a list may lag, but a server that restarted must be noticed soon.
+        # Names that are only in the list or only held here are renewed at once: the list may lag,
+        # but a restart of the server, which loses its seats, must be noticed soon.
         for name in ours ^ self.confirmed_until.keys():
             self.unconfirmed[name] = None
 
     async def _request_grant(self, what: str, names: list[str]) -> set[str]:
+        """Requests names and returns those granted, with their expiry less a safety margin."""
         sent = self.clock.now()
         answer = decode(await self._request(what, names), SeatGrant)
         self.answered_at = self.clock.now()
@@ -169,7 +170,7 @@
         return found
 
     async def _renew(self, names: list[str]) -> None:
-        """What is not renewed is lost: the server restarted, or freed it after its timeout."""
+        """Renews names. Those not renewed are lost: the server restarted or freed them."""
         names = names[: constants.SEAT_BATCH]
         found = await self._request_grant("renew", names)
         for name in set(names) - found:
@@ -182,20 +183,18 @@
         self.unconfirmed |= dict.fromkeys(names)
         found = await self._request_grant("checkout", names)
         for name in set(names) - found:
-            self.unconfirmed.pop(name, None)  # refused: somebody else was first
+            self.unconfirmed.pop(name, None)  # refused: another holder was faster
         if len(found) < count:
             self.backoff()
 
     async def _return_surplus(self, now: float, spare: int) -> None:
-        """Return what nothing asks for, after a moment: work may follow work."""
+        """Returns surplus seats after SEAT_KEEP_S, since further work may need them before."""
         self.surplus_since = now if self.surplus_since is None else self.surplus_since
         if now - self.surplus_since < constants.SEAT_KEEP_S:
             return
         names = list(self.confirmed_until)[-spare:][: constants.SEAT_BATCH]
         for name in names:
-            del self.confirmed_until[
-                name
-            ]  # not ours from before the request on, whatever comes of it
+            del self.confirmed_until[name]  # not held from before the request, whatever its outcome
             self.unconfirmed[name] = None
         await self._request("return", names)
         for name in names:
@@ -210,7 +209,7 @@
     rng: random.Random,
     wanted: Callable[[str], int],
 ) -> dict[str, PoolCheckouts]:
-    """One for each pool that has a server."""
+    """Returns the checkouts of each pool that has a server."""
     return {
         name: PoolCheckouts(pool, token, http, clock, rng, wanted)
         for name, pool in needs.pools.items()
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -1,4 +1,4 @@
-"""Licences as a part of a term: a gate for rounds, loops for the servers, figures."""
+"""The licence component of a term: a start constraint, loops for the servers, and metrics."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
         self.decision_loops = [stock.run for stock in self.checkouts.values()]
 
     def usable_seats(self, pool: str) -> UsableSeats:
-        """Without a server we alone count, and all seats are ours."""
+        """Returns the seats usable by this cluster: all of a pool that has no server."""
         stock = self.checkouts.get(pool)
         return (
             stock.usable_seats()
@@ -40,7 +40,7 @@
         )
 
     def wanted_seats(self, pool: str) -> int:
-        """Seats that tasks use or would use now, as of the last round."""
+        """Returns the seats that tasks use or could use at once, as of the last round."""
         most = self.requirements.pools[pool].seats
         return min(most, self.constraint.used[pool] + self.constraint.waiting[pool])
 
@@ -65,10 +65,10 @@
 
 
 def join(own: LicenceSettings, joint: Joint) -> Licences:
-    """The table of subsystems asks for this."""
+    """Creates the component; called through the table in `extensions.subsystems`."""
     return Licences(joint.domain.context, joint.domain.queues, own, joint.http)
 
 
 def refusal(own: LicenceSettings) -> Callable[[JobSpec], str | None]:
-    """Submissions that need more seats than there are can never run."""
+    """Returns the check that rejects submissions which need more seats than a pool has."""
     return SeatRequirements(own).rejection_reason
--- a/src/chalkgrade/licences/requirements.py
+++ b/src/chalkgrade/licences/requirements.py
@@ -1,16 +1,16 @@
-"""Which pools a job's tasks need, and how many seats each."""
+"""Which licence pools the tasks of a job need, and how many seats of each."""
 
 from chalkgrade.licences.settings import LicenceSettings
 from chalkgrade.record.jobs import JobSpec
 
-PoolSeats = tuple[tuple[str, int], ...]  # pool and seats a task, by pool's name
+PoolSeats = tuple[tuple[str, int], ...]  # (pool, seats per task), sorted by pool
 
 
 class SeatRequirements:
-    """The operators' table, and what a submission names itself.
+    """The seats that jobs need, by the operators' table and by their submissions.
 
-    What a submission names goes before the table, pool by pool: the table's row for
-    the same pool is a minimum, so that nobody runs on fewer seats than its class needs.
+    A submission may name pools itself. For each pool the table's row is a minimum, so that no
+    job runs on fewer seats than its class needs.
     """
 
     def __init__(self, settings: LicenceSettings) -> None:
@@ -30,7 +30,7 @@
         return known
 
     def seats_per_task(self, spec: JobSpec) -> PoolSeats:
-        """What one task of it needs; pools that a submission names and nobody knows left out."""
+        """Returns the seats that one task needs; unknown pools of a submission are left out."""
         table = self._configured_seats(spec.owner, spec.jobclass)
         if not spec.licences:
             return table
@@ -41,11 +41,11 @@
         return tuple(sorted(found.items()))
 
     def rejection_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never have its seats, or None."""
+        """Returns why a job can never get its seats, or None if it can."""
         for pool in spec.licences or ():
             if pool not in self.pools:
                 return f"licences: unknown pool {pool!r}"
-        tasks = spec.tasks if spec.shape != "batch" else 1  # the others run one by one
+        tasks = spec.tasks if spec.shape != "batch" else 1  # batch tasks may run one by one
         for pool, seats in self.seats_per_task(spec):
             if seats * tasks > self.pools[pool].seats:
                 most = self.pools[pool].seats
--- a/src/chalkgrade/licences/seat_constraint.py
+++ b/src/chalkgrade/licences/seat_constraint.py
@@ -1,10 +1,10 @@
-"""The gate for seats: who gets the free ones, and who makes way for urgent work.
+"""The start constraint for licence seats: who gets free seats, and preemption for urgent work.
 
-Nothing is stored: what is taken follows from the live attempts, which are in the
-record, by the rules of absence that hold for attempts anyway. At the beginning of
-each round the free seats are *allotted*: urgency first, within one the team with the
-least share of the pools it asks for, within a team in order of arrival. An allotment
-is a right of way, not a holding: who can't use it for `SEAT_CLAIM_S` lets others by.
+Nothing is stored: the seats in use follow from the live attempts in the record, under the same
+rules of proven absence that hold for attempts anyway. At the beginning of each round the free
+seats are allotted: higher urgency first, within an urgency to the team with the smallest share
+of the pools it asks for, and within a team in order of arrival. An allotment is a priority and
+not a holding: a job that can't use it for `SEAT_CLAIM_S` lets others use the seats.
 """
 
 import heapq
@@ -25,49 +25,49 @@
 
 @dataclass
 class UsableSeats:
-    """How many seats of a pool our tasks may hold together, and whether that is fresh."""
+    """The seats of a pool that all tasks may hold together; `fresh` while its server answers."""
 
     seats: int
     fresh: bool = True
 
 
 def _min_start_tasks(job: Job) -> int:
-    """How many of its tasks start at once at least."""
+    """Returns the least number of tasks that start together: all of a gang, otherwise one."""
     return max(1, len(job.waiting)) if job.spec.shape == "gang" else 1
 
 
 class SeatConstraint(StartConstraint):
-    """All seats of a task's pools, or none of them."""
+    """Lets a task start only if it gets the seats of all its pools."""
 
     def __init__(
-        self, needs: SeatRequirements, queues: Queues, usable: Callable[[str], UsableSeats]
+        self,
+        requirements: SeatRequirements,
+        queues: Queues,
+        usable_seats: Callable[[str], UsableSeats],
     ) -> None:
-        self.requirements = needs
+        self.requirements = requirements
         self.queues = queues
-        self.usable_seats = usable
+        self.usable_seats = usable_seats
         teams = queues.settings.cluster.teams
         self._guaranteed = {team.name for team in teams if team.cpus or team.gpus}
-        self.used: dict[str, int] = dict.fromkeys(needs.pools, 0)  # seats of live attempts
-        self.waiting: dict[str, int] = dict(self.used)  # seats that waiting tasks ask for
+        self.used: dict[str, int] = dict.fromkeys(requirements.pools, 0)  # seats of live attempts
+        self.waiting: dict[str, int] = dict(self.used)  # seats of waiting tasks
         self.free: dict[str, int] = dict(self.used)
-        self._seats_by_job: dict[Job, PoolSeats] = {}  # jobs that need seats
-        self._holders_by_pool: dict[str, list[Job]] = {}  # those with live attempts, by pool
-        self._allotted_tasks: dict[Job, int] = {}  # tasks that may start
-        self._open_seats: dict[str, int] = {}  # free beyond what is allotted to those who use it
-        self._unused_since: dict[
-            Job, float
-        ] = {}  # since when it has an allotment that it does not use
-        self._lacking_since: dict[Job, float] = {}  # since when it lacks a seat
-        self._requested_stops: dict[
-            Attempt, tuple[Job, float]
-        ] = {}  # whom we stopped, for whom, when
-        self._preemption_tried: set[Job] = set()  # for whom a way was looked for in this round
-        self._pledged_seats: dict[
-            str, dict[Job, int]
-        ] = {}  # seats that room is made for in a round
+        self._seats_by_job: dict[Job, PoolSeats] = {}  # of jobs that need any
+        self._holders_by_pool: dict[str, list[Job]] = {}  # pool -> jobs with live attempts
+        self._allotted_tasks: dict[Job, int] = {}  # job -> tasks that may start
+        self._open_seats: dict[str, int] = {}  # pool -> seats that any job may use
+        # time since which a job has not used its allotment
+        self._unused_since: dict[Job, float] = {}
+        self._lacking_since: dict[Job, float] = {}  # time since which a job lacks seats
+        # stopped attempt -> job it was stopped for, time of the request
+        self._requested_stops: dict[Attempt, tuple[Job, float]] = {}
+        self._preemption_tried: set[Job] = set()  # jobs handled in this round
+        # pool -> job -> seats freed for it in this round
+        self._pledged_seats: dict[str, dict[Job, int]] = {}
         self._now = 0.0
 
-    # -- what is taken --------------------------------------------------------------
+    # -- seats in use --------------------------------------------------------------
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self._now = now
@@ -98,10 +98,10 @@
     def on_released(self, attempt: Attempt) -> None:
         self._requested_stops.pop(attempt, None)
 
-    # -- who gets what is free ------------------------------------------------------
+    # -- allotment of free seats ------------------------------------------------------
 
     def _allot_seats(self, asking: list[Job]) -> None:
-        """Share out the free seats. It costs a step for each task that gets one."""
+        """Allots the free seats; takes one step for each task that gets seats."""
         left = dict(self.free)
         shares: dict[tuple[str, str], int] = defaultdict(int)  # (team, pool) -> seats
         for pool, holders in self._holders_by_pool.items():
@@ -118,7 +118,8 @@
             del self._unused_since[job]
         lacking = {job for job in asking if job not in self._allotted_tasks}
         self._lacking_since = {job: self._lacking_since.get(job, self._now) for job in lacking}
-        # What nobody who uses it was allotted is open to all; what starving jobs keep is not.
+        # Seats that are not allotted, or whose allotment lapsed, are open to all jobs; seats that
+        # are reserved for starving jobs are not.
         self._open_seats = left
         for job, tasks in self._allotted_tasks.items():
             self._unused_since.setdefault(job, self._now)
@@ -127,7 +128,7 @@
                     self._open_seats[pool] += seats * tasks
 
     def _starving_jobs(self, jobs: list[Job]) -> list[Job]:
-        """Jobs that need several seats at once and have lacked one of them for long."""
+        """Returns jobs that need several seats at once and have lacked one for SEAT_STARVES_S."""
         return [
             job
             for job in jobs
@@ -138,11 +139,11 @@
     def _reserve_for_starving(
         self, job: Job, left: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
-        """Allot what it needs to start, or keep for it what is free of that.
+        """Allots the seats a starving job needs to start, or reserves those that are free.
 
-        Else work that needs fewer seats would always be served first. The order, the
-        longest waiting first, is the same for all pools, so that two that need the
-        same pools never keep from each other what both need.
+        Otherwise jobs that need fewer seats would always be served first. The order, longest
+        wait first, is the same for all pools, so that two jobs with the same pools can't
+        deadlock by reserving different pools.
         """
         needs, tasks = self._seats_by_job[job], _min_start_tasks(job)
         if all(left[pool] >= seats * tasks for pool, seats in needs):
@@ -154,6 +155,7 @@
     def _allot_start(
         self, job: Job, left: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
+        """Allots the seats for the least number of tasks of a job that start together."""
         tasks = _min_start_tasks(job)
         for pool, seats in self._seats_by_job[job]:
             left[pool] -= seats * tasks
@@ -163,7 +165,7 @@
     def _allot_fairly(
         self, jobs: list[Job], left: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
-        """One urgency: the team with the least dominant share of its pools gets the next task."""
+        """Allots seats within one urgency: the team with the least dominant share is next."""
         lines: dict[tuple[str, PoolSeats, int], list[Job]] = {}
         for job in jobs:
             lines.setdefault(
@@ -183,7 +185,7 @@
         while order:
             before, at, number, key, rest, job = heapq.heappop(order)
             now = share(*key)
-            if now > before:  # another line of the team got a seat meanwhile
+            if now > before:  # another queue of the team got a seat meanwhile
                 heapq.heappush(order, (now, at, number, key, rest, job))
                 continue
             if self._allotted_tasks.get(job, 0) >= job.startable_count:
@@ -195,22 +197,24 @@
                     )
                 continue
             if any(left[pool] < seats * key[2] for pool, seats in key[1]):
-                continue  # nobody behind it in this line fares better
+                continue  # the other jobs of this queue need as many seats
             self._allot_start(job, left, shares)
             heapq.heappush(order, (share(*key), at, number, key, rest, job))
 
     def _has_lapsed(self, job: Job) -> bool:
-        """Whether it lets others by: it had its turn and found no room.
+        """Tells whether the allotment of a job has lapsed because it found no room to use it.
 
-        By turns, since the room may come: for so long it has the right, for so long not.
+        The allotment is valid and lapsed in turns of SEAT_CLAIM_S, since room may come free.
         """
         gone = self._now - self._unused_since.get(job, self._now)
         return gone % (2 * constants.SEAT_CLAIM_S) >= constants.SEAT_CLAIM_S
 
     def _has_stoppable_holder(self, job: Job) -> bool:
-        """Whether anybody less urgent, or of another team, holds what the job lacks."""
+        """Tells whether a less urgent job, or one of another team, holds seats that a job lacks."""
         spec = job.spec
-        promised = spec.owner in self._guaranteed  # only then may others' excess be stopped
+        promised = (
+            spec.owner in self._guaranteed
+        )  # a guarantee permits stopping other teams' excess
         return any(
             self.free[pool] < seats
             and any(
@@ -222,12 +226,12 @@
         )
 
     def is_ready(self, job: Job) -> bool:
-        """What has no seat, and nobody to take one from, costs the round nothing further."""
+        """Excludes jobs that have no seat and could get none by preemption, to save work."""
         if job not in self._seats_by_job or self.max_starts(job, 1):
             return True
         return self._has_stoppable_holder(job)
 
-    # -- what a round asks ------------------------------------------------------------
+    # -- queries of a round ------------------------------------------------------------
 
     def max_starts(self, job: Job, count: int) -> int:
         needs = self._seats_by_job.get(job)
@@ -247,7 +251,7 @@
     def max_demand(self, job: Job, count: int) -> int:
         if job in self._seats_by_job:
             return min(count, self._allotted_tasks.get(job, 0))
-        # Since the last round, nothing is rented for it before the next.
+        # A job that came since the last round gets no rented machine before the next one.
         return 0 if self.requirements.seats_per_task(job.spec) else count
 
     def on_placed(self, job: Job, site: str) -> None:
@@ -273,13 +277,13 @@
             return REASON_LICENCE_SERVER_UNREACHABLE
         return REASON_NO_SEAT
 
-    # -- urgent work ------------------------------------------------------------------
+    # -- preemption ------------------------------------------------------------------
 
     def preempt_for(self, job: Job, stops: Preemption) -> None:
-        """Stop less urgent work that holds what an urgent job lacks, as room is made.
+        """Stops less urgent tasks that hold the seats an urgent job lacks.
 
-        Only where all its pools can be had that way, and not for seats that come free
-        by themselves in time, or by earlier stops.
+        Only if the job gets the seats of all its pools that way, and not for seats that come
+        free in time by themselves or by earlier stops.
         """
         needs = self._seats_by_job.get(job)
         waited = self.queues.clock.wall() - job.eligible_at
@@ -314,7 +318,7 @@
                     chosen[attempt] = None
                     missing -= held
             if missing > seats * (tasks - _min_start_tasks(job)):
-                return  # not even its first would start: nothing is stopped for it
+                return  # not even its first tasks would start
             self._pledged_seats[pool][job] = seats * tasks
         if chosen:
             stops.stop(list(chosen), job)
@@ -322,10 +326,10 @@
                 self._requested_stops[attempt] = (job, attempt.kill_requested_at or self._now)
 
     def _withdraw_stops(self) -> None:
-        """A stop that was not sent yet is taken back if the seat came free meanwhile."""
+        """Withdraws stops that were not sent yet if the seats came free meanwhile."""
         for attempt, (job, at) in list(self._requested_stops.items()):
             if attempt.kill_sent or attempt.kill_requested_at != at or attempt.job.aborted:
-                del self._requested_stops[attempt]  # under way, or wanted for another reason
+                del self._requested_stops[attempt]  # already sent, or requested for another reason
                 continue
             needs = self._seats_by_job.get(job, ())
             tasks = min(job.startable_count, max(_min_start_tasks(job), constants.SEAT_STOPS))
--- a/src/chalkgrade/licences/settings.py
+++ b/src/chalkgrade/licences/settings.py
@@ -1,4 +1,4 @@
-"""The operators' file of pools and needs."""
+"""The operators' file of licence pools and of the jobs that need them."""
 
 import re
 
@@ -14,18 +14,18 @@
 
 
 class LicencePool(msgspec.Struct):
-    """A number of seats. Without a server we alone count."""
+    """A pool of seats. Without a server all seats belong to this cluster."""
 
     name: str
     seats: int
     server: str = ""  # host:port
-    holder: str = "chalkgrade"  # whose seats are ours at the server
-    timeout_s: float = 60.0  # the server frees what is not renewed for so long
-    rps: float = 4.0  # requests a second
+    holder: str = "chalkgrade"  # name under which the server lists the seats of this cluster
+    timeout_s: float = 60.0  # the server frees seats that are not renewed for this long
+    rps: float = 4.0  # most requests per second
 
 
 class LicenceNeed(msgspec.Struct):
-    """Tasks of a class, a team, or both need so many seats each; empty stands for all."""
+    """The seats that each task of a class, a team or both needs; an empty field matches all."""
 
     pool: str
     jobclass: str = ""
@@ -34,19 +34,22 @@
 
 
 class LicenceSettings(msgspec.Struct):
-    """Counted licences: none of this, and nothing is paid for them."""
+    """All pools and needs. Without the settings file licences are off and cost nothing."""
 
     pools: list[LicencePool] = []
     needs: list[LicenceNeed] = []
 
 
 def read(text: bytes, platform: Settings) -> LicenceSettings:
-    """As the table of subsystems asks for it."""
+    """Parses the file; called through the table in `extensions.subsystems`."""
     return parse_licences(text)
 
 
 def parse_licences(text: bytes) -> LicenceSettings:
-    """Decode and check; SettingsError names line, field, what was found and what is allowed."""
+    """Decodes and checks the file.
+
+    SettingsError names the line, the field, what was found and what is allowed.
+    """
     root, lines = read_xml(text, "licences")
     out = LicenceSettings()
     for node in root:
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -144,7 +144,7 @@
         return True
 
     def ready_within(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
-        """Returns blocked jobs that become ready within `within` seconds, with their delay, by delay.
+        """Returns the blocked jobs that become ready within `within` s, and their delay, sorted.
 
         `ends` returns the seconds until a job that is not blocked is over. Jobs that wait for
         a blocked job are left out, since they become ready later.
--- a/src/chalkgrade/pipelines/integer_program.py
+++ b/src/chalkgrade/pipelines/integer_program.py
@@ -30,7 +30,7 @@
     """
     count, width = len(stages), len(stages) * horizon
     ends = horizon + 1
-    # Columns: starts per stage and step, done per stage and step, late per stage, all done per step.
+    # Columns: starts by stage and step, done by stage and step, late by stage, all done by step.
     done, late, over = width, width + count * ends, width + count * ends + count
     columns = over + ends
     rows: list[tuple[dict[int, float], float, float]] = []
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -144,7 +144,7 @@
             propagate_requirements(self.graph, self.due_times, self.expected_makespan_s)
 
     def is_cancellation_known(self, job: Job) -> bool:
-        """Tells whether it is certain that a job is or is not cancelled, so that users may be told."""
+        """Tells whether it is certain if a job is cancelled, so that its status may be reported."""
         return not job.is_blocked or job.aborted or self.graph.is_cancellation_known(job)
 
     # -- jobs that ended before this term -----------------------------------------------
@@ -162,7 +162,8 @@
             for begin in range(0, len(names), constants.LOOK_UPS):
                 part = names[begin : begin + constants.LOOK_UPS]
                 await asyncio.gather(*(self._read_end(name) for name in part))
-            # Still unresolved: not readable, or accepted by a node and not yet seen by the leader's watch.
+            # Still unresolved: not readable, or accepted by a node and not yet seen by the
+            # leader's watch.
             unread = bool(self.graph.unresolved)
             pause = min(2 * pause, constants.LOOK_UP_PAUSE_S) if unread else constants.STATE_PAUSE_S
 
