--- a/src/chalkgrade/licences/checkouts.py
+++ b/src/chalkgrade/licences/checkouts.py
@@ -126,21 +126,21 @@
             n for n, until in self.confirmed_until.items() if until - now < self._renew_before_s()
         ]
         due = list(dict.fromkeys([*due, *self.unconfirmed]))
-        want = self.wanted_seats(self.pool.name)
-        spare = len(self.confirmed_until) - want
-        if spare > 0:
-            await self._return_surplus(now, spare)
+        wanted = self.wanted_seats(self.pool.name)
+        surplus = len(self.confirmed_until) - wanted
+        if surplus > 0:
+            await self._return_surplus(now, surplus)
             due = [name for name in due if name in self.confirmed_until]
         else:
             self.surplus_since = None
         if due:
             await self._renew(due)
-        lacking = min(
-            want - len(self.confirmed_until),
+        missing = min(
+            wanted - len(self.confirmed_until),
             max(1, self.total_seats - self.foreign_seats - len(self.confirmed_until)),
         )
-        if want > len(self.confirmed_until) and lacking > 0:
-            await self._check_out(min(lacking, constants.SEAT_BATCH))
+        if wanted > len(self.confirmed_until) and missing > 0:
+            await self._check_out(min(missing, constants.SEAT_BATCH))
 
     def _renew_before_s(self) -> float:
         return self.pool.timeout_s * (1 - constants.SEAT_RENEW_PART)
@@ -162,18 +162,18 @@
         sent = self.clock.now()
         answer = decode(await self._request(what, names), SeatGrant)
         self.answered_at = self.clock.now()
-        found = set(answer.names) & set(names)
+        granted = set(answer.names) & set(names)
         until = sent + answer.ttlS * (1 - constants.CLOCK_DRIFT) - constants.SEAT_MARGIN_S
-        for name in found:
+        for name in granted:
             self.confirmed_until[name] = until
             self.unconfirmed.pop(name, None)
-        return found
+        return granted
 
     async def _renew(self, names: list[str]) -> None:
         """Renews names. Those not renewed are lost: the server restarted or freed them."""
         names = names[: constants.SEAT_BATCH]
-        found = await self._request_grant("renew", names)
-        for name in set(names) - found:
+        granted = await self._request_grant("renew", names)
+        for name in set(names) - granted:
             self.confirmed_until.pop(name, None)
             self.unconfirmed.pop(name, None)
 
@@ -181,18 +181,18 @@
         names = [f"{self.token}-{self.last_number + n}" for n in range(1, count + 1)]
         self.last_number += count
         self.unconfirmed |= dict.fromkeys(names)
-        found = await self._request_grant("checkout", names)
-        for name in set(names) - found:
+        granted = await self._request_grant("checkout", names)
+        for name in set(names) - granted:
             self.unconfirmed.pop(name, None)  # refused: another holder was faster
-        if len(found) < count:
+        if len(granted) < count:
             self.backoff()
 
-    async def _return_surplus(self, now: float, spare: int) -> None:
+    async def _return_surplus(self, now: float, surplus: int) -> None:
         """Returns surplus seats after SEAT_KEEP_S, since further work may need them before."""
         self.surplus_since = now if self.surplus_since is None else self.surplus_since
         if now - self.surplus_since < constants.SEAT_KEEP_S:
             return
-        names = list(self.confirmed_until)[-spare:][: constants.SEAT_BATCH]
+        names = list(self.confirmed_until)[-surplus:][: constants.SEAT_BATCH]
         for name in names:
             del self.confirmed_until[name]  # not held from before the request, whatever its outcome
             self.unconfirmed[name] = None
@@ -202,16 +202,16 @@
 
 
 def create_checkouts(
-    needs: SeatRequirements,
+    requirements: SeatRequirements,
     token: int,
     http: Http,
     clock: Clock,
     rng: random.Random,
-    wanted: Callable[[str], int],
+    wanted_seats: Callable[[str], int],
 ) -> dict[str, PoolCheckouts]:
     """Returns the checkouts of each pool that has a server."""
     return {
-        name: PoolCheckouts(pool, token, http, clock, rng, wanted)
-        for name, pool in needs.pools.items()
+        name: PoolCheckouts(pool, token, http, clock, rng, wanted_seats)
+        for name, pool in requirements.pools.items()
         if pool.server
     }
--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -28,21 +28,21 @@
         self.checkouts = create_checkouts(
             self.requirements, office.token, http, office.clock, rng, self.wanted_seats
         )
-        self.decision_loops = [stock.run for stock in self.checkouts.values()]
+        self.decision_loops = [checkouts.run for checkouts in self.checkouts.values()]
 
     def usable_seats(self, pool: str) -> UsableSeats:
         """Returns the seats usable by this cluster: all of a pool that has no server."""
-        stock = self.checkouts.get(pool)
+        checkouts = self.checkouts.get(pool)
         return (
-            stock.usable_seats()
-            if stock is not None
+            checkouts.usable_seats()
+            if checkouts is not None
             else UsableSeats(self.requirements.pools[pool].seats)
         )
 
     def wanted_seats(self, pool: str) -> int:
         """Returns the seats that tasks use or could use at once, as of the last round."""
-        most = self.requirements.pools[pool].seats
-        return min(most, self.constraint.used[pool] + self.constraint.waiting[pool])
+        available = self.requirements.pools[pool].seats
+        return min(available, self.constraint.used[pool] + self.constraint.waiting[pool])
 
     def samples(self) -> Iterable[Sample]:
         pools = self.requirements.pools
@@ -59,16 +59,16 @@
         }
         for name, (text, values) in figures.items():
             yield labelled_sample(f"licence_{name}", text, "pool", values, counter=False)
-        fresh = {pool: int(found.fresh) for pool, found in usable.items()}
+        fresh = {pool: int(usable_seats.fresh) for pool, usable_seats in usable.items()}
         what = "1 while a pool's server answers"
         yield labelled_sample("licence_fresh", what, "pool", fresh, counter=False)
 
 
-def join(own: LicenceSettings, joint: Joint) -> Licences:
+def join(settings: LicenceSettings, joint: Joint) -> Licences:
     """Creates the component; called through the table in `extensions.subsystems`."""
-    return Licences(joint.domain.context, joint.domain.queues, own, joint.http)
+    return Licences(joint.domain.context, joint.domain.queues, settings, joint.http)
 
 
-def refusal(own: LicenceSettings) -> Callable[[JobSpec], str | None]:
+def refusal(settings: LicenceSettings) -> Callable[[JobSpec], str | None]:
     """Returns the check that rejects submissions which need more seats than a pool has."""
-    return SeatRequirements(own).rejection_reason
+    return SeatRequirements(settings).rejection_reason
--- a/src/chalkgrade/licences/requirements.py
+++ b/src/chalkgrade/licences/requirements.py
@@ -20,25 +20,25 @@
 
     def _configured_seats(self, owner: str, jobclass: str) -> PoolSeats:
         key = (owner, jobclass)
-        known = self._cache.get(key)
-        if known is None:
-            found: dict[str, int] = {}
+        cached = self._cache.get(key)
+        if cached is None:
+            seats_by_pool: dict[str, int] = {}
             for row in self._rows:
                 if row.jobclass in ("", jobclass) and row.team in ("", owner):
-                    found[row.pool] = max(row.seats, found.get(row.pool, 0))
-            known = self._cache[key] = tuple(sorted(found.items()))
-        return known
+                    seats_by_pool[row.pool] = max(row.seats, seats_by_pool.get(row.pool, 0))
+            cached = self._cache[key] = tuple(sorted(seats_by_pool.items()))
+        return cached
 
     def seats_per_task(self, spec: JobSpec) -> PoolSeats:
         """Returns the seats that one task needs; unknown pools of a submission are left out."""
         table = self._configured_seats(spec.owner, spec.jobclass)
         if not spec.licences:
             return table
-        found = dict(table)
+        seats_by_pool = dict(table)
         for pool, seats in spec.licences.items():
             if pool in self.pools:
-                found[pool] = max(seats, found.get(pool, 0))
-        return tuple(sorted(found.items()))
+                seats_by_pool[pool] = max(seats, seats_by_pool.get(pool, 0))
+        return tuple(sorted(seats_by_pool.items()))
 
     def rejection_reason(self, spec: JobSpec) -> str | None:
         """Returns why a job can never get its seats, or None if it can."""
@@ -48,6 +48,6 @@
         tasks = spec.tasks if spec.shape != "batch" else 1  # batch tasks may run one by one
         for pool, seats in self.seats_per_task(spec):
             if seats * tasks > self.pools[pool].seats:
-                most = self.pools[pool].seats
-                return f"licences: {seats * tasks} seats of {pool!r} at once, it has {most}"
+                available = self.pools[pool].seats
+                return f"licences: {seats * tasks} seats of {pool!r} at once, it has {available}"
         return None
--- a/src/chalkgrade/licences/seat_constraint.py
+++ b/src/chalkgrade/licences/seat_constraint.py
@@ -102,7 +102,7 @@
 
     def _allot_seats(self, asking: list[Job]) -> None:
         """Allots the free seats; takes one step for each task that gets seats."""
-        left = dict(self.free)
+        available = dict(self.free)
         shares: dict[tuple[str, str], int] = defaultdict(int)  # (team, pool) -> seats
         for pool, holders in self._holders_by_pool.items():
             for job in holders:
@@ -110,17 +110,19 @@
         self._allotted_tasks = {}
         asking.sort(key=lambda job: (-job.spec.urgency_rank, job.eligible_at, job.name))
         for _, group in itertools.groupby(asking, key=lambda job: job.spec.urgency_rank):
-            mates = list(group)
-            for job in sorted(self._starving_jobs(mates), key=lambda job: self._lacking_since[job]):
-                self._reserve_for_starving(job, left, shares)
-            self._allot_fairly(mates, left, shares)
+            same_urgency = list(group)
+            for job in sorted(
+                self._starving_jobs(same_urgency), key=lambda job: self._lacking_since[job]
+            ):
+                self._reserve_for_starving(job, available, shares)
+            self._allot_fairly(same_urgency, available, shares)
         for job in [job for job in self._unused_since if job not in self._allotted_tasks]:
             del self._unused_since[job]
         lacking = {job for job in asking if job not in self._allotted_tasks}
         self._lacking_since = {job: self._lacking_since.get(job, self._now) for job in lacking}
         # Seats that are not allotted, or whose allotment lapsed, are open to all jobs; seats that
         # are reserved for starving jobs are not.
-        self._open_seats = left
+        self._open_seats = available
         for job, tasks in self._allotted_tasks.items():
             self._unused_since.setdefault(job, self._now)
             if self._has_lapsed(job):
@@ -137,7 +139,7 @@
         ]
 
     def _reserve_for_starving(
-        self, job: Job, left: dict[str, int], shares: dict[tuple[str, str], int]
+        self, job: Job, available: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
         """Allots the seats a starving job needs to start, or reserves those that are free.
 
@@ -146,29 +148,29 @@
         deadlock by reserving different pools.
         """
         needs, tasks = self._seats_by_job[job], _min_start_tasks(job)
-        if all(left[pool] >= seats * tasks for pool, seats in needs):
-            self._allot_start(job, left, shares)
+        if all(available[pool] >= seats * tasks for pool, seats in needs):
+            self._allot_start(job, available, shares)
             return
         for pool, seats in needs:
-            left[pool] -= max(0, min(left[pool], seats * tasks))
+            available[pool] -= max(0, min(available[pool], seats * tasks))
 
     def _allot_start(
-        self, job: Job, left: dict[str, int], shares: dict[tuple[str, str], int]
+        self, job: Job, available: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
         """Allots the seats for the least number of tasks of a job that start together."""
         tasks = _min_start_tasks(job)
         for pool, seats in self._seats_by_job[job]:
-            left[pool] -= seats * tasks
+            available[pool] -= seats * tasks
             shares[job.spec.owner, pool] += seats * tasks
         self._allotted_tasks[job] = self._allotted_tasks.get(job, 0) + tasks
 
     def _allot_fairly(
-        self, jobs: list[Job], left: dict[str, int], shares: dict[tuple[str, str], int]
+        self, jobs: list[Job], available: dict[str, int], shares: dict[tuple[str, str], int]
     ) -> None:
         """Allots seats within one urgency: the team with the least dominant share is next."""
-        lines: dict[tuple[str, PoolSeats, int], list[Job]] = {}
+        queued: dict[tuple[str, PoolSeats, int], list[Job]] = {}
         for job in jobs:
-            lines.setdefault(
+            queued.setdefault(
                 (job.spec.owner, self._seats_by_job[job], _min_start_tasks(job)), []
             ).append(job)
 
@@ -178,8 +180,8 @@
             )
 
         order = [
-            (share(*key), line[0].accepted_at, number, key, iter(line), line[0])
-            for number, (key, line) in enumerate(lines.items())
+            (share(*key), queue[0].accepted_at, number, key, iter(queue), queue[0])
+            for number, (key, queue) in enumerate(queued.items())
         ]
         heapq.heapify(order)
         while order:
@@ -196,9 +198,9 @@
                         order, (now, following.accepted_at, number, key, rest, following)
                     )
                 continue
-            if any(left[pool] < seats * key[2] for pool, seats in key[1]):
+            if any(available[pool] < seats * key[2] for pool, seats in key[1]):
                 continue  # the other jobs of this queue need as many seats
-            self._allot_start(job, left, shares)
+            self._allot_start(job, available, shares)
             heapq.heappush(order, (share(*key), at, number, key, rest, job))
 
     def _has_lapsed(self, job: Job) -> bool:
@@ -206,20 +208,20 @@
 
         The allotment is valid and lapsed in turns of SEAT_CLAIM_S, since room may come free.
         """
-        gone = self._now - self._unused_since.get(job, self._now)
-        return gone % (2 * constants.SEAT_CLAIM_S) >= constants.SEAT_CLAIM_S
+        elapsed_s = self._now - self._unused_since.get(job, self._now)
+        return elapsed_s % (2 * constants.SEAT_CLAIM_S) >= constants.SEAT_CLAIM_S
 
     def _has_stoppable_holder(self, job: Job) -> bool:
         """Tells whether a less urgent job, or one of another team, holds seats that a job lacks."""
         spec = job.spec
-        promised = (
+        has_guarantee = (
             spec.owner in self._guaranteed
         )  # a guarantee permits stopping other teams' excess
         return any(
             self.free[pool] < seats
             and any(
                 other.spec.urgency_rank < spec.urgency_rank
-                or (promised and other.spec.owner != spec.owner)
+                or (has_guarantee and other.spec.owner != spec.owner)
                 for other in self._holders_by_pool[pool]
             )
             for pool, seats in self._seats_by_job[job]
@@ -238,11 +240,11 @@
         if needs is None:
             return count
         count = min(count, *(max(0, self.free[pool]) // seats for pool, seats in needs))
-        own = 0 if self._has_lapsed(job) else self._allotted_tasks.get(job, 0)
-        if count <= own:
+        allotted = 0 if self._has_lapsed(job) else self._allotted_tasks.get(job, 0)
+        if count <= allotted:
             return count
         return min(
-            count, own + min(max(0, self._open_seats[pool]) // seats for pool, seats in needs)
+            count, allotted + min(max(0, self._open_seats[pool]) // seats for pool, seats in needs)
         )
 
     def holds_scarce_resource(self, job: Job) -> bool:
@@ -258,15 +260,15 @@
         needs = self._seats_by_job.get(job)
         if needs is None:
             return
-        own = self._allotted_tasks.get(job, 0)
-        by_right = own > 0 and not self._has_lapsed(job)
-        if own > 0:
-            self._allotted_tasks[job] = own - 1
+        allotted = self._allotted_tasks.get(job, 0)
+        uses_allotment = allotted > 0 and not self._has_lapsed(job)
+        if allotted > 0:
+            self._allotted_tasks[job] = allotted - 1
         self._unused_since.pop(job, None)
         for pool, seats in needs:
             self.free[pool] -= seats
             self.used[pool] += seats
-            if not by_right:
+            if not uses_allotment:
                 self._open_seats[pool] -= seats
 
     def refusal_reason(self, job: Job) -> str:
@@ -279,49 +281,54 @@
 
     # -- preemption ------------------------------------------------------------------
 
-    def preempt_for(self, job: Job, stops: Preemption) -> None:
+    def preempt_for(self, job: Job, preemption: Preemption) -> None:
         """Stops less urgent tasks that hold the seats an urgent job lacks.
 
         Only if the job gets the seats of all its pools that way, and not for seats that come
-        free in time by themselves or by earlier stops.
+        free in time by themselves or by earlier preemption.
         """
         needs = self._seats_by_job.get(job)
-        waited = self.queues.clock.wall() - job.eligible_at
-        slack = self.queues.slack_s(job)
-        if needs is None or not stops.preempt or slack < 0 or waited <= constants.PREEMPT_WAIT_S:
+        waited_s = self.queues.clock.wall() - job.eligible_at
+        slack_s = self.queues.slack_s(job)
+        if (
+            needs is None
+            or not preemption.preempt
+            or slack_s < 0
+            or waited_s <= constants.PREEMPT_WAIT_S
+        ):
             return
         if job in self._preemption_tried or not self._has_stoppable_holder(job):
             return
         self._preemption_tried.add(job)
-        late = max(constants.PREEMPT_WAIT_S, slack)
+        deadline_s = max(constants.PREEMPT_WAIT_S, slack_s)
         tasks = max(_min_start_tasks(job), min(len(job.waiting), constants.SEAT_STOPS))
         chosen: dict[Attempt, None] = {}
         for pool, seats in needs:
             missing = seats * tasks - max(0, self.free[pool])
             missing += sum(s for other, s in self._pledged_seats[pool].items() if other is not job)
-            offers: list[tuple[int, float, str, Attempt, int]] = []
+            candidates: list[tuple[int, float, str, Attempt, int]] = []
             for holder in self._holders_by_pool[pool]:
                 held = dict(self._seats_by_job[holder])[pool]
                 for attempt in holder.live.values():
                     ends = attempt.kill_requested_at is not None or attempt in chosen
-                    if ends or self.queues.remaining_run_s(attempt, self._now) <= late:
+                    if ends or self.queues.remaining_run_s(attempt, self._now) <= deadline_s:
                         missing -= held
-                    elif stops.may_preempt(attempt, job):
-                        loss = stops.preemption_loss(attempt)
+                    elif preemption.may_preempt(attempt, job):
+                        loss = preemption.preemption_loss(attempt)
                         entry = (holder.spec.urgency_rank, loss, attempt.label, attempt, held)
-                        offers.append(entry)
-            offers.sort(key=lambda offer: offer[:3])
-            for _, loss, _, attempt, held in offers:
+                        candidates.append(entry)
+            candidates.sort(key=lambda candidate: candidate[:3])
+            for _, loss, _, attempt, held in candidates:
                 if missing <= 0:
                     break
-                if loss <= stops.max_preemption_loss(job):
+                if loss <= preemption.max_preemption_loss(job):
                     chosen[attempt] = None
                     missing -= held
             if missing > seats * (tasks - _min_start_tasks(job)):
                 return  # not even its first tasks would start
             self._pledged_seats[pool][job] = seats * tasks
         if chosen:
-            stops.stop(list(chosen), job)
+            preemption.stop(list(chosen), job)
             for attempt in chosen:
                 self._requested_stops[attempt] = (job, attempt.kill_requested_at or self._now)
 
--- a/src/chalkgrade/licences/settings.py
+++ b/src/chalkgrade/licences/settings.py
@@ -53,12 +53,12 @@
     root, lines = read_xml(text, "licences")
     out = LicenceSettings()
     for node in root:
-        found = dict(node.attrib)
+        attributes = dict(node.attrib)
         try:
             if node.tag == "pool":
-                out.pools.append(_parse_pool(found, {pool.name for pool in out.pools}))
+                out.pools.append(_parse_pool(attributes, {pool.name for pool in out.pools}))
             elif node.tag == "need":
-                out.needs.append(_parse_need(found, {pool.name for pool in out.pools}))
+                out.needs.append(_parse_need(attributes, {pool.name for pool in out.pools}))
             else:
                 raise SettingsError(f"unknown <{node.tag}>, known are need, pool")
         except SettingsError as error:
@@ -66,8 +66,8 @@
     return out
 
 
-def _check_attributes(tag: str, found: dict[str, str], known: tuple[str, ...]) -> None:
-    unknown = sorted(set(found) - set(known))
+def _check_attributes(tag: str, attributes: dict[str, str], known: tuple[str, ...]) -> None:
+    unknown = sorted(set(attributes) - set(known))
     if unknown:
         raise SettingsError(f"{tag}: unknown {unknown[0]!r}, known are {', '.join(known)}")
 
@@ -79,34 +79,36 @@
     return int(value)
 
 
-def _parse_pool(found: dict[str, str], names: set[str]) -> LicencePool:
-    _check_attributes("pool", found, POOL_ATTRIBUTES)
-    name = found.get("name", "")
+def _parse_pool(attributes: dict[str, str], names: set[str]) -> LicencePool:
+    _check_attributes("pool", attributes, POOL_ATTRIBUTES)
+    name = attributes.get("name", "")
     if not NAME_PATTERN.match(name) or name in names:
         raise SettingsError(f"pool.name: {name!r} is not a name, or appears twice")
     values: dict[str, object] = {
         "name": name,
-        "seats": _parse_seats("pool.seats", found.get("seats")),
+        "seats": _parse_seats("pool.seats", attributes.get("seats")),
     }
-    if "server" in found:
-        split_addr(found["server"], "pool.server")
-        values["server"] = found["server"]
-    if "holder" in found:
-        if not NAME_PATTERN.match(found["holder"]):
-            raise SettingsError(f"pool.holder: {found['holder']!r} is not a name")
-        values["holder"] = found["holder"]
+    if "server" in attributes:
+        split_addr(attributes["server"], "pool.server")
+        values["server"] = attributes["server"]
+    if "holder" in attributes:
+        if not NAME_PATTERN.match(attributes["holder"]):
+            raise SettingsError(f"pool.holder: {attributes['holder']!r} is not a name")
+        values["holder"] = attributes["holder"]
     for field, low in (("timeout_s", constants.SEAT_TIMEOUT_MIN_S), ("rps", 0.5)):
-        if field in found:
-            values[field] = number(f"pool.{field}", found[field], low, 86400.0)
+        if field in attributes:
+            values[field] = number(f"pool.{field}", attributes[field], low, 86400.0)
     return msgspec.convert(values, LicencePool)
 
 
-def _parse_need(found: dict[str, str], names: set[str]) -> LicenceNeed:
-    _check_attributes("need", found, NEED_ATTRIBUTES)
-    pool, jobclass, team = (found.get(key, "") for key in ("pool", "class", "team"))
+def _parse_need(attributes: dict[str, str], names: set[str]) -> LicenceNeed:
+    _check_attributes("need", attributes, NEED_ATTRIBUTES)
+    pool, jobclass, team = (attributes.get(key, "") for key in ("pool", "class", "team"))
     if pool not in names:
         known = ", ".join(sorted(names)) or "none"
         raise SettingsError(f"need.pool: no pool {pool!r} before it, there are {known}")
     if not (jobclass or team):
         raise SettingsError("need: a class or a team must be named")
-    return LicenceNeed(pool, jobclass, team, _parse_seats("need.seats", found.get("seats", "1")))
+    return LicenceNeed(
+        pool, jobclass, team, _parse_seats("need.seats", attributes.get("seats", "1"))
+    )
--- a/src/chalkgrade/moves/integer_program.py
+++ b/src/chalkgrade/moves/integer_program.py
@@ -52,24 +52,24 @@
     for (number, _), columns in by_resident.items():
         rows.append(({**dict.fromkeys(columns, 1.0), number: -1.0}, -np.inf, 0.0))
     free = {place.name: place.free for place in problem.places}
-    for name, found in by_target.items():
+    for name, incoming in by_target.items():
         for kind in range(3):
-            rows.append(({c: room[kind] for c, room in found}, -np.inf, free[name][kind] + 1e-9))
+            rows.append(({c: room[kind] for c, room in incoming}, -np.inf, free[name][kind] + 1e-9))
     for number, host in enumerate(hosts):
         for kind, amount in enumerate(missing_resources(problem, host)):
             if amount > 0:
-                gives = {c: room[kind] for c, room in by_host.get(number, [])}
-                rows.append(({**gives, number: -amount}, -1e-9, np.inf))
+                freed = {c: room[kind] for c, room in by_host.get(number, [])}
+                rows.append(({**freed, number: -amount}, -1e-9, np.inf))
     matrix = lil_matrix((len(rows), width))
     for line, (values, _, _) in enumerate(rows):
         for column, value in values.items():
             matrix[line, column] = value
     low = np.array([row[1] for row in rows])
     high = np.array([row[2] for row in rows])
-    found = milp(
+    solution = milp(
         cost,
         integrality=np.ones(width),
         bounds=Bounds(0, 1),
         constraints=LinearConstraint(matrix.tocsr(), low, high),
     )
-    return float(found.fun) if found.success else None
+    return float(solution.fun) if solution.success else None
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -47,9 +47,9 @@
 
     job: str
     index: int
-    number: int
-    source: str
-    target: str
+    number: int  # of the attempt that is moved
+    source: str  # machine
+    target: str  # machine
     home_until: float = 0.0
 
 
@@ -58,7 +58,7 @@
 
     job: str
     host: str
-    until: float
+    until: float  # wall time, s
     moves: list[MoveRecord]
 
 
@@ -66,7 +66,7 @@
     """The value of the key cg/moves: open plans, and stopped tasks of closed plans."""
 
     plans: list[PlanRecord] = []
-    homes: list[MoveRecord] = []
+    homes: list[MoveRecord] = []  # tasks of closed plans that may start at their targets
 
 
 class MoveConstraint(StartConstraint):
@@ -78,15 +78,15 @@
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
         self.reserved_resources = {}
-        book = self._part.registry.jobs
+        registered = self._part.registry.jobs
         for plan in self._part.value.plans:
-            job = book.get(plan.job)
+            job = registered.get(plan.job)
             if job is not None:
                 self.reserved_resources.setdefault(plan.host, []).append(
                     (job.name, job.spec.resources)
                 )
         for move in self._part.pending_moves():
-            room = book[move.job].spec.resources
+            room = registered[move.job].spec.resources
             self.reserved_resources.setdefault(move.target, []).append((move.job, room))
 
     def unreserved_resources(self, job: Job, slot: Slot) -> Vector:
@@ -153,7 +153,7 @@
     def _load(self, raw: bytes) -> None:
         self.value = msgspec.json.decode(raw, type=MovesValue)
 
-    # -- open plans -------------------------------------------------------------
+    # -- open plans -------------------------------------------------------------------
 
     def _open_moves(self) -> list[MoveRecord]:
         return [*(move for plan in self.value.plans for move in plan.moves), *self.value.homes]
@@ -207,8 +207,8 @@
                     attempt = self._attempt_at_source(move)
                     if attempt is not None and attempt.kill_requested_at is None:
                         attempt.kill_requested_at = self.clock.now()
-                        what = about(self.fleet.token, move.job, move.source, attempt.label)
-                        log.info("move started: %s to %s", attempt.label, move.target, extra=what)
+                        fields = about(self.fleet.token, move.job, move.source, attempt.label)
+                        log.info("move started: %s to %s", attempt.label, move.target, extra=fields)
         homes = [m for m in self.pending_moves() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
@@ -276,11 +276,11 @@
             return
         # A job that fits some machine needs no plan: it only waits for its turn.
         now = self.clock.now()
-        least = min(job.spec.vcpus for job in jobs)
-        floor = ClusterSnapshot(
-            self.fleet, self.term_context.flavors, self.term_context.queues, least, now
+        min_vcpus = min(job.spec.vcpus for job in jobs)
+        snapshot = ClusterSnapshot(
+            self.fleet, self.term_context.flavors, self.term_context.queues, min_vcpus, now
         )
-        slots = floor.all_slots()
+        slots = snapshot.all_slots()
         for job in jobs:
             # One search per call, and for each shape of work only once per MOVE_RETRY_S: a search
             # costs more than a scheduling round, and one that found no plan would find none
@@ -308,35 +308,39 @@
     def _plan_for_job(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
         """Searches a plan for one task, or for all of a gang, and adopts it if it pays off."""
         spec = job.spec
-        fitting = [s for s in slots if self._can_host(job, s)]
-        if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
+        suitable = [s for s in slots if self._can_host(job, s)]
+        if not suitable or any(fits(spec.resources, slot.free) for slot in suitable):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
         teams = self.term_context.context.settings.cluster.teams
-        maxima = TeamLimits({team.name: team for team in teams}, self.term_context.queues)
-        maxima.begin_round(self.registry.jobs.values(), self.clock.now())
-        if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
+        team_limits = TeamLimits({team.name: team for team in teams}, self.term_context.queues)
+        team_limits.begin_round(self.registry.jobs.values(), self.clock.now())
+        if not team_limits.is_ready(job) or team_limits.max_starts(job, count) < count:
             return
         # Room is preserved only for work of at least the same urgency.
-        mates = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
-        others = {mate.resources for mate in mates if mate.resources != spec.resources}
-        pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
+        competitors = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
+        other_resources = {
+            competitor.resources
+            for competitor in competitors
+            if competitor.resources != spec.resources
+        }
+        pools = frozenset((s.hosttype, s.site, s.standby) for s in suitable)
         # Movable tasks are determined only on a few hosts, those with most free CPUs.
-        hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
+        hosts = heapq.nlargest(constants.MOVE_LOOK, suitable, key=lambda s: (s.free[0], s.name))
         names = {slot.name for slot in hosts}
         places = tuple(self._machine_state(job, slot, slot.name in names) for slot in slots)
-        found = self.planner(
-            PlacementProblem(spec.resources, pools, places, tuple(sorted(others))), count
+        plans = self.planner(
+            PlacementProblem(spec.resources, pools, places, tuple(sorted(other_resources))), count
         )
-        if not found:
+        if not plans:
             return
-        took = max(self._plan_duration_s(plan) for plan in found)
-        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rental_wait_s(job))
-        cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
-        gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
-        if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
-            for plan in found:
-                self._adopt(job, plan, took, instead)
+        duration_s = max(self._plan_duration_s(plan) for plan in plans)
+        wait_s = min(min(room_wait_s(spec, slot) for slot in suitable), self._rental_wait_s(job))
+        cost, tasks = sum(plan.cost for plan in plans), sum(len(plan.moves) for plan in plans)
+        gain = (min(wait_s, constants.MOVE_GAIN_S) - duration_s) * spec.vcpus * count
+        if duration_s * self.settings.margin < wait_s and cost <= gain and self.budget.take(tasks):
+            for plan in plans:
+                self._adopt(job, plan, duration_s, wait_s)
 
     def _can_host(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
@@ -363,8 +367,8 @@
     def _plan_duration_s(self, plan: Plan) -> float:
         """Returns the seconds until the large task can start: stops, saves and reports."""
         jobs = [self.registry.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
-        saves = max(job.spec.flushS for job in jobs)
-        return saves + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
+        save_s = max(job.spec.flushS for job in jobs)
+        return save_s + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
 
     def _machine_state(self, job: Job, slot: Slot, host: bool) -> MachineState:
         """Returns a machine for the planner; resources reserved on it are not free.
@@ -414,7 +418,7 @@
 
     def _movable_task(self, attempt: Attempt, machine: Machine) -> MovableTask:
         spec = attempt.job.spec
-        tied = (
+        is_zone_bound = (
             spec.oneZone or spec.spread
         )  # the zones of its other tasks permit only its present zone
         pools: set[Pool] = {
@@ -422,7 +426,8 @@
             for flavor in self.term_context.flavors.values()
             for site in flavor.sites
             for spot in SPOT_OPTIONS
-            if may_use_machine(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
+            if may_use_machine(spec, flavor.sku, site, spot)
+            and (not is_zone_bound or site == machine.site)
         }
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
@@ -430,7 +435,7 @@
             name, attempt.number, spec.resources, loss, spec.bundle, spec.pullGb, frozenset(pools)
         )
 
-    def _adopt(self, job: Job, plan: Plan, took: float, instead: float) -> None:
+    def _adopt(self, job: Job, plan: Plan, duration_s: float, wait_s: float) -> None:
         wall = self.clock.wall()
         moves = []
         for move in plan.moves:
@@ -447,8 +452,8 @@
             plan.host,
             len(moves),
             plan.cost,
-            took,
-            instead,
+            duration_s,
+            wait_s,
             extra=about(self.fleet.token, job.name, plan.host),
         )
 
@@ -462,6 +467,6 @@
         )
 
 
-def join(own: MoveSettings, joint: Joint) -> Moves:
+def join(settings: MoveSettings, joint: Joint) -> Moves:
     """Creates the component; called through the table in `extensions.subsystems`."""
-    return Moves(joint.domain, own, joint.renter, joint.able, joint.ties)
+    return Moves(joint.domain, settings, joint.renter, joint.able, joint.ties)
--- a/src/chalkgrade/moves/planner.py
+++ b/src/chalkgrade/moves/planner.py
@@ -20,11 +20,11 @@
     """A task that may be moved, with the pools in which it may run."""
 
     task: str
-    number: int
-    room: Vector
+    number: int  # of its attempt
+    room: Vector  # resources
     loss: float  # CPU-seconds lost by stopping it, including its save
     bundle: str
-    gb: float
+    gb: float  # size of its image
     pools: frozenset[Pool]  # pools in which it may run
 
 
@@ -35,16 +35,16 @@
     pool: Pool
     total: Vector
     free: Vector
-    images: frozenset[str]
-    pull_gb_s: float
+    images: frozenset[str]  # present or being fetched
+    pull_gb_s: float  # image download rate
     residents: tuple[MovableTask, ...] = ()
 
 
 class PlacementProblem(msgspec.Struct, frozen=True):
     """A large task that fits no machine at present, and the machines of the cluster."""
 
-    room: Vector
-    pools: frozenset[Pool]
+    room: Vector  # resources of the task
+    pools: frozenset[Pool]  # in which it may run
     places: tuple[MachineState, ...]
     others: tuple[Vector, ...] = ()  # resources of other waiting tasks, whose room must not be lost
 
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -53,12 +53,12 @@
         self._last_end_at[job.name] = job.accepted_at
         for name in names:
             status = self.over.get(name)
-            known = self.jobs.get(name)
+            dependency = self.jobs.get(name)
             if status is not None:
                 self._dependency_ended(job, name, status, now)
-            elif known is None:
+            elif dependency is None:
                 self.unresolved[name] = None
-            elif known.aborted:
+            elif dependency.aborted:
                 self._cancel_with_successors(job)
 
     def job_ended(self, name: str, status: str, at: float) -> None:
@@ -66,45 +66,45 @@
         self.unresolved.pop(name, None)
         self.unfinished_dependencies.pop(name, None)
         self._last_end_at.pop(name, None)
-        for heir in self._unfinished_successors(name):
-            self._dependency_ended(heir, name, status, at)
+        for successor in self._unfinished_successors(name):
+            self._dependency_ended(successor, name, status, at)
 
     def remove_ended_job(self, job: Job) -> None:
         """Removes a job that is over, and no longer in `jobs`, from the successors of others."""
-        for before in job.submitted_spec.waitsOn or []:
-            self._remove_successor(before, job.name)
+        for dependency in job.submitted_spec.waitsOn or []:
+            self._remove_successor(dependency, job.name)
 
     def job_aborted(self, job: Job) -> None:
         """Cancels the successors of a job that is durably aborted by its user."""
         self.unfinished_dependencies.pop(job.name, None)
-        for heir in self._unfinished_successors(job.name):
-            self._cancel_with_successors(heir)
+        for successor in self._unfinished_successors(job.name):
+            self._cancel_with_successors(successor)
 
-    def _remove_successor(self, name: str, heir: str) -> None:
+    def _remove_successor(self, name: str, successor: str) -> None:
         """Removes a successor of a job; without any left the job gets its own urgency back."""
-        heirs = self.successors.get(name)
-        if heirs is not None:
-            heirs.pop(heir, None)
-            if not heirs:
+        successors = self.successors.get(name)
+        if successors is not None:
+            successors.pop(successor, None)
+            if not successors:
                 del self.successors[name]
                 job = self.jobs.get(name)
                 if job is not None:  # no successor is left: drop the inherited urgency and deadline
                     job.spec, job.due_times = job.submitted_spec, None
 
     def _unfinished_successors(self, name: str) -> list[Job]:
-        found = (self.jobs.get(heir) for heir in list(self.successors.get(name, ())))
+        found = (self.jobs.get(successor) for successor in list(self.successors.get(name, ())))
         return [job for job in found if job is not None]
 
     def _dependency_ended(self, job: Job, name: str, status: str, at: float) -> None:
-        needs = self.unfinished_dependencies.get(job.name)
-        if needs is None:
+        unfinished = self.unfinished_dependencies.get(job.name)
+        if unfinished is None:
             return
         if status == WITHDRAWN:
             self._cancel_with_successors(job)
             return
-        needs.discard(name)
+        unfinished.discard(name)
         self._last_end_at[job.name] = max(self._last_end_at[job.name], at)
-        if not needs:
+        if not unfinished:
             del self.unfinished_dependencies[job.name]
             job.unblock(self._last_end_at.pop(job.name))
             self.released(job)
@@ -133,31 +133,33 @@
             for name in self.unfinished_dependencies.get(stack.pop().name, ()):
                 if name in self.unresolved:
                     return False
-                before = self.jobs.get(name)
-                if before is None:
+                dependency = self.jobs.get(name)
+                if dependency is None:
                     continue
-                if before.aborting:
+                if dependency.aborting:
                     return False
-                if before.is_blocked and name not in seen:
+                if dependency.is_blocked and name not in seen:
                     seen.add(name)
-                    stack.append(before)
+                    stack.append(dependency)
         return True
 
-    def ready_within(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
-        """Returns the blocked jobs that become ready within `within` s, and their delay, sorted.
+    def ready_within(
+        self, remaining_s: Callable[[Job], float], within_s: float
+    ) -> list[tuple[Job, float]]:
+        """Returns the blocked jobs that become ready within `within_s`, and their delay, sorted.
 
-        `ends` returns the seconds until a job that is not blocked is over. Jobs that wait for
-        a blocked job are left out, since they become ready later.
+        `remaining_s` returns the seconds until a job that is not blocked is over. Jobs that wait
+        for a blocked job are left out, since they become ready later.
         """
         out = []
-        for name, needs in self.unfinished_dependencies.items():
+        for name, unfinished in self.unfinished_dependencies.items():
             job = self.jobs.get(name)
-            before = [self.jobs.get(need) for need in needs]
-            if job is None or not all(b is not None and not b.is_blocked for b in before):
+            dependencies = [self.jobs.get(need) for need in unfinished]
+            if job is None or not all(b is not None and not b.is_blocked for b in dependencies):
                 continue
-            in_s = max((ends(b) for b in before if b is not None), default=0.0)
-            if in_s <= within:
-                out.append((job, in_s))
+            delay_s = max((remaining_s(b) for b in dependencies if b is not None), default=0.0)
+            if delay_s <= within_s:
+                out.append((job, delay_s))
         return sorted(out, key=lambda row: row[1])
 
     def successors_first(self) -> Iterator[Job]:
@@ -168,16 +170,19 @@
         """
         order: list[str] = []
         seen: set[str] = set()
-        for root in [*self.successors, *(n for heirs in self.successors.values() for n in heirs)]:
+        for root in [
+            *self.successors,
+            *(n for successors in self.successors.values() for n in successors),
+        ]:
             stack = [(root, False)]
             while stack:
-                name, back = stack.pop()
-                if back:
+                name, visited = stack.pop()
+                if visited:
                     order.append(name)
                 elif name not in seen:
                     seen.add(name)
                     stack.append((name, True))
-                    stack += [(heir, False) for heir in self.successors.get(name, ())]
+                    stack += [(successor, False) for successor in self.successors.get(name, ())]
         for name in order:
             job = self.jobs.get(name)
             if job is not None:
--- a/src/chalkgrade/pipelines/integer_program.py
+++ b/src/chalkgrade/pipelines/integer_program.py
@@ -76,14 +76,14 @@
     bounds = LinearConstraint(
         matrix.tocsr(), np.array([row[1] for row in rows]), np.array([row[2] for row in rows])
     )
-    found = milp(
+    solution = milp(
         cost,
         integrality=np.ones(columns),
         bounds=Bounds(np.zeros(columns), high),
         constraints=bounds,
         options={"time_limit": seconds},
     )
-    if found.status != 0:
-        raise RuntimeError(f"optimum not proven in {seconds:g} s: {found.message}")
-    overs = int(round(found.x[over : over + ends].sum()))
-    return int(round(found.x[late : late + count].sum())), ends - overs
+    if solution.status != 0:
+        raise RuntimeError(f"optimum not proven in {seconds:g} s: {solution.message}")
+    steps_after_end = int(round(solution.x[over : over + ends].sum()))
+    return int(round(solution.x[late : late + count].sum())), ends - steps_after_end
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -90,9 +90,9 @@
             names = job.submitted_spec.waitsOn or []
             shown = ", ".join(names[: constants.NAMES_SHOWN])
             more = f" and {len(names) - constants.NAMES_SHOWN} more"
-            what = about(self.registry.office.token, job.name)
+            fields = about(self.registry.office.token, job.name)
             more = more if len(names) > constants.NAMES_SHOWN else ""
-            log.info("job %s: waits for %s%s", job.name, shown, more, extra=what)
+            log.info("job %s: waits for %s%s", job.name, shown, more, extra=fields)
         if self.started:
             self._add_to_graph(job)
 
@@ -104,21 +104,23 @@
 
     def _on_released(self, job: Job) -> None:
         self.event_counts["released"] += 1
-        what = about(self.registry.office.token, job.name)
+        fields = about(self.registry.office.token, job.name)
         self.requirements_changed = True
         self.update_requirements()
         text = "nobody with a deadline needs it"
         if job.due_times:
             left = job.due_times[0] - self.clock.wall() - self.expected_makespan_s(job)
             text = f"needed with {left:.0f} s of slack, as {job.spec.urgency}"
-        log.info("job %s: released, all its dependencies are done; %s", job.name, text, extra=what)
+        log.info(
+            "job %s: released, all its dependencies are done; %s", job.name, text, extra=fields
+        )
         self.on_job_ready(job, job.name in self.submitted_this_term)
         self.submitted_this_term.discard(job.name)
 
     def _on_cancelled(self, job: Job) -> None:
         self.event_counts["cancelled"] += 1
-        what = about(self.registry.office.token, job.name)
-        log.info("job %s: cancelled together with a predecessor", job.name, extra=what)
+        fields = about(self.registry.office.token, job.name)
+        log.info("job %s: cancelled together with a predecessor", job.name, extra=fields)
         self.requirements_changed = True
         self.submitted_this_term.discard(job.name)
         self.registry.update_ending(job)
@@ -179,9 +181,9 @@
 
     def samples(self) -> Iterable[Sample]:
         jobs = self.registry.jobs.values()
-        held = Counter(job.spec.jobclass for job in jobs if job.is_blocked)
+        blocked = Counter(job.spec.jobclass for job in jobs if job.is_blocked)
         yield labelled_sample(
-            "jobs_held", "Jobs that wait for others", "class", held, counter=False
+            "jobs_held", "Jobs that wait for others", "class", blocked, counter=False
         )
         text = "Named jobs whose end is being read"
         yield gauge("jobs_looked_up", text, len(self.graph.unresolved))
--- a/src/chalkgrade/pipelines/slack.py
+++ b/src/chalkgrade/pipelines/slack.py
@@ -15,29 +15,31 @@
 DueTimes = Callable[[Job], list[float]]
 
 
-def propagate_requirements(graph: Graph, own: DueTimes, takes: Callable[[Job], float]) -> None:
+def propagate_requirements(
+    graph: Graph, own_due_times: DueTimes, duration_s: Callable[[Job], float]
+) -> None:
     """Sets the latest finish and the urgency that each job inherits from its successors.
 
-    `own` returns the wall times of a job's own deadlines in ascending order. `takes` returns the
-    seconds from the moment a job may run until it is over. A cancelled successor passes nothing
-    on, so a job loses what it inherited from that successor.
+    `own_due_times` returns the wall times of a job's own deadlines in ascending order.
+    `duration_s` returns the seconds from the moment a job may run until it is over. A cancelled
+    successor passes nothing on, so a job loses what it inherited from that successor.
     """
     for job in graph.successors_first():
-        asked = job.submitted_spec
-        spec = asked
-        needed: list[float] | None = None
+        submitted = job.submitted_spec
+        spec = submitted
+        inherited: list[float] | None = None
         for name in graph.successors.get(job.name, ()):
-            heir = graph.jobs.get(name)
-            if heir is None or heir.aborted or heir.aborting:
+            successor = graph.jobs.get(name)
+            if successor is None or successor.aborted or successor.aborting:
                 continue
-            if heir.spec.urgency_rank > spec.urgency_rank:
-                spec = msgspec.structs.replace(asked, urgency=heir.spec.urgency)
-            dues = own(heir) or heir.due_times
-            if dues:
-                latest = sorted(due - takes(heir) for due in dues)
-                if needed is None or latest[0] < needed[0]:
-                    needed = latest
+            if successor.spec.urgency_rank > spec.urgency_rank:
+                spec = msgspec.structs.replace(submitted, urgency=successor.spec.urgency)
+            due_times = own_due_times(successor) or successor.due_times
+            if due_times:
+                latest = sorted(due - duration_s(successor) for due in due_times)
+                if inherited is None or latest[0] < inherited[0]:
+                    inherited = latest
         if job.spec.urgency != spec.urgency:
             job.spec = spec
-        job.due_times = needed
+        job.due_times = inherited
         job.in_pipeline = job.in_pipeline or job.name in graph.successors
