--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -92,7 +92,7 @@
             more = f" and {len(names) - constants.NAMES_SHOWN} more"
             fields = about(self.registry.office.token, job.name)
             more = more if len(names) > constants.NAMES_SHOWN else ""
-            log.info("job %s: waits for %s%s", job.name, shown, more, extra=fields)
+            log.info("job blocked: %s waits for %s%s", job.name, shown, more, extra=fields)
         if self.started:
             self._add_to_graph(job)
 
@@ -112,7 +112,7 @@
             left = job.due_times[0] - self.clock.wall() - self.expected_makespan_s(job)
             text = f"needed with {left:.0f} s of slack, as {job.spec.urgency}"
         log.info(
-            "job %s: released, all its dependencies are done; %s", job.name, text, extra=fields
+            "job released: %s, all its dependencies are done; %s", job.name, text, extra=fields
         )
         self.on_job_ready(job, job.name in self.submitted_this_term)
         self.submitted_this_term.discard(job.name)
@@ -120,7 +120,7 @@
     def _on_cancelled(self, job: Job) -> None:
         self.event_counts["cancelled"] += 1
         fields = about(self.registry.office.token, job.name)
-        log.info("job %s: cancelled together with a predecessor", job.name, extra=fields)
+        log.info("job cancelled with a predecessor: %s", job.name, extra=fields)
         self.requirements_changed = True
         self.submitted_this_term.discard(job.name)
         self.registry.update_ending(job)
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -1,4 +1,4 @@
-"""A region whose jobs wait for others, with a record that is checked after each change."""
+"""A simulated region of jobs with dependencies; its record is checked after each change."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 def production() -> versions.Version:
-    """The version that deploy/service.toml names: its true code, or NoHistory."""
+    """Returns the code of the version that deploy/service.toml names; may raise NoHistory."""
     if not _loaded:
         room = Path(tempfile.mkdtemp(prefix="production-"))
         _loaded.append(versions.load(ROOT, versions.production(ROOT), room))
@@ -28,7 +28,7 @@
 
 
 class CheckedStore(Store):
-    """After each change: whoever was accepted is on record, and who is over is not live too."""
+    """Checks after each change that accepted jobs are recorded, and ended jobs not also live."""
 
     def _apply(self, ops: list[dict[str, Any]]) -> None:
         super()._apply(ops)
@@ -36,7 +36,7 @@
             self.check()
 
     def check(self) -> None:
-        # What a reader does: a batch beyond the size of new ones may hold jobs that are over.
+        # As readers do: a batch beyond the size of new ones may still hold jobs that are over.
         room = self.world.settings.cluster.state.least().value_kb * 1024 * 7 / 8
         seen: dict[str, int] = {}
         for key, (value, _, _) in self.keys.items():
@@ -58,7 +58,7 @@
 
 
 class Piped(World):
-    """Every other job names earlier ones; limits may fall, versions may change."""
+    """A world in which half of the jobs name earlier ones; limits and versions may change."""
 
     PIPED = 0.5
     STATE = {"rps": 200, "write_rps": 40, "txn_ops": 16, "value_kb": 16, "next": NEXT}
@@ -83,7 +83,7 @@
         node.leadership._on_lead = lead
 
     def _check_released(self, graph: Any) -> None:
-        """Nothing is let go by what a leader has only in memory."""
+        """Checks that no job is released before the ends of its dependencies are durable."""
         plain = graph.released
 
         def released(job: Any) -> None:
@@ -107,7 +107,7 @@
         self.store.fall()
 
     async def upgrade(self, before: float, between: tuple[float, float]) -> None:
-        """Each controller in turn ends and comes back with this version."""
+        """Restarts the controllers one after the other with this version."""
         await asyncio.sleep(before)
         for member in self.luck.sample(self.members, len(self.members)):
             del self.versions[member]
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -1,4 +1,4 @@
-"""Counted licences: the gate against a model, the stock against its server, whole days."""
+"""Licences: the start constraint against a model, checkouts against a server, simulated days."""
 
 import asyncio
 import json
@@ -49,8 +49,8 @@
 )
 
 
-class Bench:
-    """A gate with its clock, jobs, and what the seats of its pools are."""
+class ConstraintFixture:
+    """A seat constraint with a clock, jobs and the usable seats of its pools."""
 
     def __init__(self, teams: tuple[Team, ...] = (Team("red"), Team("blue"))) -> None:
         plain = experiment.plain_settings(list(teams))
@@ -59,7 +59,7 @@
         pools = [LicencePool(pool, seats) for pool, seats in SEATS.items()]
         self.queues = Queues(plain, self.clock, {})
         needs = SeatRequirements(LicenceSettings(pools, NEEDS))
-        self.gate = SeatConstraint(needs, self.queues, self.usable.__getitem__)
+        self.constraint = SeatConstraint(needs, self.queues, self.usable.__getitem__)
 
     def job(self, jobclass: str, tasks: int = 1, **changes: Any) -> Job:
         self.clock.at += 0.01
@@ -70,26 +70,26 @@
 
     def begin(self) -> None:
         self.clock.at += 1.0
-        self.gate.begin_round(self.jobs, self.clock.at)
+        self.constraint.begin_round(self.jobs, self.clock.at)
 
     def start(self, job: Job) -> Attempt | None:
-        """As a round does: ask, place, tell."""
+        """Starts a task as a scheduling round does: ask, place, notify."""
         if (
-            not self.gate.is_ready(job)
+            not self.constraint.is_ready(job)
             or not job.startable_count
-            or self.gate.max_starts(job, 1) < 1
+            or self.constraint.max_starts(job, 1) < 1
         ):
             return None
         index = job.waiting.lowest(set())
         assert index is not None
         attempt = job.place(index, "m")
-        self.gate.on_placed(job, "a")
+        self.constraint.on_placed(job, "a")
         return attempt
 
     def held(self, pool: str) -> int:
-        """The model: what live attempts take, from scratch."""
+        """Returns the seats that live attempts hold, counted from scratch as the model."""
         per = {
-            name: dict(self.gate.requirements.seats_per_task(job.spec))
+            name: dict(self.constraint.requirements.seats_per_task(job.spec))
             for job in self.jobs
             for name in [job]
         }
@@ -98,15 +98,15 @@
     def end(self, job: Job) -> None:
         for attempt in list(job.live.values())[:1]:
             job.finish(attempt, True)
-            self.gate.on_released(attempt)
+            self.constraint.on_released(attempt)
 
 
-class GateMachine(RuleBasedStateMachine):
-    """Any order of jobs, rounds, ends and lowered counts."""
+class ConstraintMachine(RuleBasedStateMachine):
+    """Guards against too many seats in use, in any order of jobs, rounds, ends and recounts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.bench = Bench()
+        self.bench = ConstraintFixture()
         self.over: dict[str, int] = dict.fromkeys(SEATS, 0)
 
     @rule(kind=st.sampled_from(CLASSES), tasks=st.integers(1, 3), owner=st.sampled_from("rb"))
@@ -121,15 +121,15 @@
         order.shuffle(asked)
         for job in asked:
             while bench.start(job) is not None:
-                for pool in SEATS:  # nothing starts beyond what is usable at that moment
+                for pool in SEATS:  # no task starts beyond the usable seats
                     assert bench.held(pool) <= max(bench.usable[pool].seats, self.over[pool])
         for pool in SEATS:
             self.over[pool] = bench.held(pool)
-        # Whoever asked last and was refused lacks a seat: nothing is kept from a lone asker
-        # for longer than others' right of way, which lapses by turns.
+        # Only a job that needs seats may be refused: allotments of others lapse in turns, so a
+        # single asking job is not kept from free seats for longer.
         for job in asked:
-            if job.startable_count and bench.gate.refusal_reason(job):
-                assert bench.gate.requirements.seats_per_task(job.spec)
+            if job.startable_count and bench.constraint.refusal_reason(job):
+                assert bench.constraint.requirements.seats_per_task(job.spec)
 
     @precondition(lambda self: any(job.live for job in self.bench.jobs))
     @rule(data=st.data())
@@ -139,7 +139,7 @@
 
     @rule(pool=st.sampled_from(sorted(SEATS)), seats=st.integers(0, 2))
     def recount(self, pool: str, seats: int) -> None:
-        """Other holders come and go: below what runs, nothing new starts, nothing is stopped."""
+        """Changes the usable seats; below those in use no task starts and none is stopped."""
         self.bench.usable[pool] = UsableSeats(min(seats, SEATS[pool]))
         self.over[pool] = self.bench.held(pool)
 
@@ -148,7 +148,7 @@
         assert not any(a.kill_requested_at for job in self.bench.jobs for a in job.live.values())
 
     def teardown(self) -> None:
-        """All seats come back, and all work is served once nobody else takes them."""
+        """Checks that all jobs are served once all seats are usable again."""
         bench = self.bench
         bench.usable.update({pool: UsableSeats(seats) for pool, seats in SEATS.items()})
         for _ in range(200):
@@ -163,27 +163,27 @@
         raise AssertionError("work was starved")
 
 
-TestGate = GateMachine.TestCase
-TestGate.settings = QUICK
+TestConstraint = ConstraintMachine.TestCase
+TestConstraint.settings = QUICK
 
 
 def _among_many(kind: str, rounds: int = 150, **changes: Any) -> int:
-    """A job of several seats beside an endless stream for each pool; rounds until it starts."""
-    bench, rng = Bench(), random.Random(4)
+    """Returns the rounds until a job of several seats starts beside a stream of jobs per pool."""
+    bench, rng = ConstraintFixture(), random.Random(4)
     stream = [bench.job(kind) for kind in ("one", "one", "other")]
     bench.begin()
     for job in stream:
         assert bench.start(job)
     large = bench.job(kind, **changes)
     for number in range(rounds):
-        # Ends come one by one, so that both pools are never free at once by chance.
+        # Jobs end one by one, so that both pools are never free together by chance.
         done = rng.choice([job for job in bench.jobs if job.live])
         bench.end(done)
         bench.job(done.spec.jobclass)
         bench.begin()
         for job in [j for j in bench.jobs if j is not large]:
             bench.start(job)
-        if bench.gate.max_starts(large, large.spec.tasks) == large.spec.tasks:
+        if bench.constraint.max_starts(large, large.spec.tasks) == large.spec.tasks:
             return number
     return rounds
 
@@ -194,13 +194,15 @@
 def test_work_that_needs_several_seats_is_not_starved(
     kind: str, changes: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against starvation: jobs of one seat would otherwise always be served first."""
     assert _among_many(kind, **changes) < 60
     monkeypatch.setattr(SeatConstraint, "_starving_jobs", lambda self, jobs: [])
-    assert _among_many(kind, **changes) == 150  # without its right it never starts
+    assert _among_many(kind, **changes) == 150  # without the reservation it never starts
 
 
 def test_two_teams_share_a_pool_and_urgency_goes_first() -> None:
-    bench = Bench()
+    """Guards against one team taking all seats, and against urgent jobs that wait for others."""
+    bench = ConstraintFixture()
     many = [bench.job("one", 40, owner=owner, urgency="standard") for owner in ("red", "blue")]
     served = {"red": 0, "blue": 0}
     for _ in range(30):
@@ -216,8 +218,8 @@
     assert bench.start(many[0]) is None and bench.start(urgent) is not None
 
 
-class Stops:
-    """The rules of preemption as a round has them."""
+class StandInPreemption:
+    """A stand-in for the preemption of a scheduling round."""
 
     preempt, guaranteed = True, False
 
@@ -235,42 +237,44 @@
             attempt.kill_requested_at = 5.0
 
 
-def _urgent() -> tuple[Bench, list[Job], Job]:
-    bench = Bench()
+def _urgent() -> tuple[ConstraintFixture, list[Job], Job]:
+    bench = ConstraintFixture()
     low = [bench.job("one", 1, urgency="best_effort", savepointS=s) for s in (0.0, 5.0)]
     bench.begin()
     assert all(bench.start(job) for job in low)
     urgent = bench.job("one", 1, urgency="high", dueS=20.0)  # others run for 10 s
     bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
     bench.begin()
-    assert bench.start(urgent) is None and bench.gate.is_ready(urgent)
-    assert bench.gate.refusal_reason(urgent) == REASON_NO_SEAT
+    assert bench.start(urgent) is None and bench.constraint.is_ready(urgent)
+    assert bench.constraint.refusal_reason(urgent) == REASON_NO_SEAT
     return bench, low, urgent
 
 
-def _stopped(bench: Bench) -> list[str]:
+def _stopped(bench: ConstraintFixture) -> list[str]:
     return [
         job.name for job in bench.jobs for a in job.live.values() if a.kill_requested_at is not None
     ]
 
 
 def test_urgent_work_gets_the_seat_of_what_loses_least_and_only_one() -> None:
+    """Guards against stopping too many tasks, or one that loses more than another."""
     bench, low, urgent = _urgent()
     for _ in range(3):  # a round asks several times
-        bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
-    assert _stopped(bench) == [low[1].name]  # it saves
+        bench.constraint.preempt_for(urgent, StandInPreemption())  # type: ignore[arg-type]
+    assert _stopped(bench) == [low[1].name]  # it loses less, since it writes savepoints
     bench.begin()
-    bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
-    assert _stopped(bench) == [low[1].name]  # a seat is on its way
+    bench.constraint.preempt_for(urgent, StandInPreemption())  # type: ignore[arg-type]
+    assert _stopped(bench) == [low[1].name]  # the stopped task will free a seat
     peer = bench.job("one", 1, urgency="best_effort")
     bench.begin()
-    assert not bench.gate.is_ready(peer)  # the same urgency never preempts
+    assert not bench.constraint.is_ready(peer)  # the same urgency never preempts
 
 
-def test_a_stop_is_taken_back_if_the_seat_came_free_meanwhile() -> None:
+def test_a_stop_is_withdrawn_if_the_seat_came_free_meanwhile() -> None:
+    """Guards against needless stops: one that was not sent is withdrawn when a seat comes free."""
     for sent in (False, True):
         bench, low, urgent = _urgent()
-        bench.gate.preempt_for(urgent, Stops())  # type: ignore[arg-type]
+        bench.constraint.preempt_for(urgent, StandInPreemption())  # type: ignore[arg-type]
         attempt = next(iter(low[1].live.values()))
         attempt.kill_sent = sent
         bench.end(low[0])  # its seat comes free by itself
@@ -280,10 +284,11 @@
 
 
 def test_nothing_is_stopped_that_loses_too_much_or_helps_nobody() -> None:
+    """Guards against stops whose loss is too high, or that don't let the urgent job start."""
     bench, _, urgent = _urgent()
-    dear = Stops()
-    dear.max_preemption_loss = lambda job: 0.5  # type: ignore[method-assign]
-    bench.gate.preempt_for(urgent, dear)  # type: ignore[arg-type]
+    expensive = StandInPreemption()
+    expensive.max_preemption_loss = lambda job: 0.5  # type: ignore[method-assign]
+    bench.constraint.preempt_for(urgent, expensive)  # type: ignore[arg-type]
     assert not _stopped(bench)
     both = bench.job("both", 1, urgency="high", dueS=20.0)  # q is held by work of the same urgency
     holder = bench.job("other", 1, urgency="high")
@@ -291,12 +296,12 @@
     assert bench.start(holder)
     bench.clock.at += constants.PREEMPT_WAIT_S + 1.0
     bench.begin()
-    bench.gate.preempt_for(both, Stops())  # type: ignore[arg-type]
+    bench.constraint.preempt_for(both, StandInPreemption())  # type: ignore[arg-type]
     assert not _stopped(bench)
 
 
-class _Here:
-    """What a stand-in server needs of a world."""
+class _ServerWorld:
+    """The parts of a simulated world that the licence server uses."""
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         self.loop, self.rng = loop, random.Random(seed)
@@ -306,8 +311,8 @@
         return self.loop.time()
 
 
-class _Way:
-    """The way to the server: loses questions and answers, and brings some late."""
+class _Connection:
+    """The connection to the server: loses requests and answers, and delivers some late."""
 
     def __init__(self, server: LicenceServer, loop: VirtualLoop) -> None:
         self.server, self.loop = server, loop
@@ -332,20 +337,24 @@
 FATES = st.lists(st.sampled_from(["fine", "fine", "lost", "unheard", "late"]), max_size=4)
 
 
-class StockMachine(RuleBasedStateMachine):
-    """A stock against its server: lost and late messages, new leaders, restarts, people."""
+class CheckoutMachine(RuleBasedStateMachine):
+    """Guards against seats counted as held that the server has freed or never granted.
+
+    The rules lose and delay messages, change the leader, restart the server and let other
+    holders take seats.
+    """
 
     SEATS, TTL_S = 3, 20.0
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = VirtualLoop()
-        here: Any = _Here(self.loop, 1)
-        self.server = LicenceServer(here, {"p": (self.SEATS, self.TTL_S)})
+        world: Any = _ServerWorld(self.loop, 1)
+        self.server = LicenceServer(world, {"p": (self.SEATS, self.TTL_S)})
         self.pool = self.server.pools["p"]
-        self.way = _Way(self.server, self.loop)
+        self.connection = _Connection(self.server, self.loop)
         self.want, self.token, self.people = 0, 0, 0
-        self.forgot: set[str] = set()  # names the server forgot, until the stock knows
+        self.forgotten: set[str] = set()  # names lost by the server, until the checkouts notice
         self.lead()
 
     @rule()
@@ -354,35 +363,37 @@
         settings = LicencePool("p", self.SEATS, "x:3", timeout_s=self.TTL_S, rps=100.0)
         rng = random.Random(self.token)
         clock = Clock(self.loop, 1.0)
-        self.stock = PoolCheckouts(settings, self.token, self.way, clock, rng, lambda _: self.want)
-        self.forgot.clear()
+        self.checkouts = PoolCheckouts(
+            settings, self.token, self.connection, clock, rng, lambda _: self.want
+        )
+        self.forgotten.clear()
 
     @rule(want=st.integers(0, 5), fates=FATES, passed=st.floats(0.25, 4.0))
     def step(self, want: int, fates: list[str], passed: float) -> None:
-        self.want, self.way.fates = want, list(fates)
+        self.want, self.connection.fates = want, list(fates)
         asyncio.set_event_loop(self.loop)
 
         async def once() -> None:
             await asyncio.sleep(passed)
             try:
-                await self.stock.step()
+                await self.checkouts.step()
             except NoAnswer:
-                self.stock.backoff()
+                self.checkouts.backoff()
 
         self.loop.run_until_complete(once())
-        self.forgot &= self.stock.confirmed_until.keys()
+        self.forgotten &= self.checkouts.confirmed_until.keys()
 
-    @precondition(lambda self: self.way.late)
+    @precondition(lambda self: self.connection.late)
     @rule()
     def arrive(self) -> None:
-        method, path, body = self.way.late.pop(0)
+        method, path, body = self.connection.late.pop(0)
         self.loop.run_until_complete(self.server.handle("n-0", method, path, body))
 
     @rule()
     def forget(self) -> None:
         self.server.forget()
         self.people = 0
-        self.forgot |= self.stock.confirmed_until.keys()
+        self.forgotten |= self.checkouts.confirmed_until.keys()
 
     @rule()
     def person(self) -> None:
@@ -399,30 +410,31 @@
     @invariant()
     def what_is_surely_ours_is_ours(self) -> None:
         now = self.loop.time()
-        for name, until in self.stock.confirmed_until.items():
-            if until > now and name not in self.forgot:
+        for name, until in self.checkouts.confirmed_until.items():
+            if until > now and name not in self.forgotten:
                 assert self.pool.held.get(("chalkgrade", name), 0.0) >= now
         assert len(self.pool.held) <= self.SEATS or self.people
 
     def teardown(self) -> None:
-        """Once all is quiet, as many seats are held as are wanted, and none is lost."""
+        """Checks that without faults exactly the wanted seats are held, so that none is lost."""
         self.people_leave()
         self.forget()
         for want in (2, 0, 3):
             for _ in range(60):
                 self.step(want, [], 1.0)
             ours = [key for key in self.pool.held if key[0] == "chalkgrade"]
-            assert len(ours) == self.stock.usable_seats().seats == want
+            assert len(ours) == self.checkouts.usable_seats().seats == want
         self.loop.close()
         asyncio.set_event_loop(None)
 
 
-TestStock = StockMachine.TestCase
-TestStock.settings = QUICK
+TestCheckouts = CheckoutMachine.TestCase
+TestCheckouts.settings = QUICK
 
 
 def test_a_silent_server_stops_nothing_and_says_so() -> None:
-    bench = Bench()
+    """Guards against stopped tasks, and an unexplained wait, while the server is unreachable."""
+    bench = ConstraintFixture()
     job, late = bench.job("one"), bench.job("one")
     bench.begin()
     assert bench.start(job)
@@ -430,14 +442,14 @@
     bench.begin()
     assert (
         bench.start(late) is None
-        and bench.gate.refusal_reason(late) == REASON_LICENCE_SERVER_UNREACHABLE
+        and bench.constraint.refusal_reason(late) == REASON_LICENCE_SERVER_UNREACHABLE
     )
     assert not _stopped(bench)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_three_seats_and_forty_jobs_with_faults(seed: int) -> None:
-    """Never more than three run; each job is done once; nothing is rented for the others."""
+    """Guards against more than three running tasks, lost jobs and needless rentals under faults."""
     world = experiment.play(seed, on=True, faults=True)
     found = experiment.figures(world)
     assert found["peak_held"] <= experiment.SEATS
@@ -446,15 +458,21 @@
 
 
 def test_without_licences_the_surplus_fails() -> None:
+    """Shows that jobs beyond the seats fail when licences are off, so that the days test them."""
     found = experiment.figures(experiment.play(1, on=False, faults=False))
     assert found["failed_for_want_of_seat"] > 20
 
 
-def test_a_gate_that_counts_wrongly_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If a seat is given back before its attempt is surely absent, more than three run."""
+def test_a_constraint_that_frees_seats_too_early_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Shows that the days detect a constraint that frees seats too early.
+
+    If a seat is free before its attempt is surely absent, more than three tasks run.
+    """
     plain = SeatConstraint.begin_round
 
-    def hasty(self: SeatConstraint, jobs: Any, now: float) -> None:
+    def early(self: SeatConstraint, jobs: Any, now: float) -> None:
         known = list(jobs)
         plain(self, known, now)
         for job in known:
@@ -463,7 +481,7 @@
                 self.free[pool] += seats * sent
                 self._open_seats[pool] += seats * sent
 
-    monkeypatch.setattr(SeatConstraint, "begin_round", hasty)
+    monkeypatch.setattr(SeatConstraint, "begin_round", early)
     days = (experiment.figures(experiment.play(seed, True, False)) for seed in range(8))
     assert any(found["failed_for_want_of_seat"] for found in days)
 
@@ -475,6 +493,7 @@
 
 
 def test_settings_and_refusals() -> None:
+    """Guards against wrong seat requirements and wrong rejections of submissions."""
     found = parse_licences(LICENCES.encode())
     needs = SeatRequirements(found)
     assert needs.seats_per_task(spec(jobclass="scan")) == (("ocr", 1),)
@@ -499,6 +518,7 @@
     ],
 )
 def test_wrong_settings_are_named(old: str, new: str, said: str, tmp_path: Path) -> None:
+    """Guards against wrong settings that are accepted, or errors without field and line."""
     with pytest.raises(SettingsError) as found:
         parse_licences(LICENCES.replace(old, new).encode())
     assert said in str(found.value)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves: the planner against brute force and the optimum, the executor against crashes."""
+"""Moves: the planner against brute force and the integer program, the executor under faults."""
 
 import itertools
 import random
@@ -30,7 +30,7 @@
 
 
 def _problem(rng: random.Random) -> PlacementProblem:
-    """A few machines, so that all ways can be tried."""
+    """Returns a random problem of so few machines that every plan can be tried."""
     places = []
     for number in range(rng.randrange(2, 5)):
         pool = POOLS[number > 0]
@@ -55,7 +55,7 @@
 
 
 def _brute(problem: PlacementProblem) -> float | None:
-    """The least cost by trying every set of residents on every way to place them."""
+    """Returns the least cost over every set of moved tasks and every choice of targets."""
     best: float | None = None
     for host in problem.places:
         if not fits(problem.room, host.total):
@@ -80,7 +80,11 @@
 
 
 def test_the_planner_is_near_the_best_of_all_ways_and_the_program_is_the_best() -> None:
-    """Never better than brute force (it would be wrong), mostly as good; else no plan."""
+    """Guards against invalid or needlessly expensive plans.
+
+    A plan cheaper than brute force would be invalid. 95 percent of the plans must cost at most 5
+    percent more than the optimum, and the integer program must find the optimum itself.
+    """
     rng, equal, plans = random.Random(2), 0, 0
     for _ in range(400):
         problem = _problem(rng)
@@ -112,7 +116,7 @@
 @settings(max_examples=25, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(10, 120), st.integers(0, 10_000), st.integers(1, 400))
 def test_a_plan_is_bounded_and_valid_at_any_size(machines: int, seed: int, steps: int) -> None:
-    """However few steps it has, what it says can be carried out, or it says nothing."""
+    """Guards against invalid plans when the search ends early for lack of steps."""
     problem = experiment.state(machines, seed)
     found = find_plan(problem, steps)
     if found is None:
@@ -127,7 +131,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_moved_work_ends_once_with_a_fault_within_the_plan(seed: int) -> None:
-    """Crashes, cuts, silent leaders, lost machines, aborts: nothing is lost or done twice."""
+    """Guards against lost or repeated work if a fault comes while a plan is carried out.
+
+    Faults are crashes, cut links, silent leaders, lost machines and aborts.
+    """
     world = experiment.play(seed, on=True, faults=True, large=1)
     assert all(job["over"] for job in world.jobs.values())
     assert world.twice == 0
@@ -137,10 +144,14 @@
 
 
 def test_a_large_job_waits_less_and_only_movable_work_is_moved() -> None:
+    """Guards against plans that bring nothing, and against moves of tasks that must not move.
+
+    With moves the large job must wait less than half as long as on the same day without.
+    """
     moved: dict[str, str] = {}
     plain = part.Moves._adopt
 
-    def seen(self: part.Moves, job: Any, found: Any, *times: float) -> None:
+    def checked(self: part.Moves, job: Any, found: Any, *times: float) -> None:
         for move in found.moves:
             spec = self.registry.jobs[move.resident.task.rpartition("/")[0]].spec
             moved[spec.nameId] = spec.shape
@@ -150,7 +161,7 @@
         plain(self, job, found, *times)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(part.Moves, "_adopt", seen)
+        patch.setattr(part.Moves, "_adopt", checked)
         on = experiment.play(9, on=True, faults=False, large=1)
     off = experiment.play(9, on=False, faults=False, large=1)
     first = sorted(off.waits)[0]
@@ -158,13 +169,16 @@
     assert on.waits[first] < off.waits[first] / 2
 
 
-def test_starting_at_the_target_before_the_source_is_surely_empty_is_seen(
+def test_starting_at_the_target_before_the_source_is_surely_empty_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The executor trusts the proofs of absence: without them tasks run twice."""
+    """Shows that the rules of the region detect a task that runs twice.
+
+    The changed executor starts a task at its target before it is proven absent at its source.
+    """
     plain = part.Moves._advance
 
-    def hasty(self: part.Moves) -> None:
+    def early(self: part.Moves) -> None:
         plain(self)
         for move in self._open_moves():
             attempt = self._attempt_at_source(move)
@@ -173,8 +187,9 @@
                 attempt.job.finish(attempt, False)
                 self.on_ended(None, attempt, "")
 
-    monkeypatch.setattr(part.Moves, "_advance", hasty)
-    monkeypatch.setattr(Machine, "unknown_tasks", lambda self: [])  # the second net under it
+    monkeypatch.setattr(part.Moves, "_advance", early)
+    # Disables the second safeguard, the list of reported tasks without an attempt.
+    monkeypatch.setattr(Machine, "unknown_tasks", lambda self: [])
     for seed in range(8):
         try:
             experiment.play(seed, on=True, faults=False, large=1)
@@ -185,6 +200,7 @@
 
 
 def test_settings_of_moves() -> None:
+    """Guards against wrong settings that are accepted or rejected without a reason."""
     good = b"<moves><margin>2</margin><optout team='red'/></moves>"
     assert parse_moves(good, {"red"}).margin == 2.0
     for bad, said in (
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others: never too early, never orphaned, never forgotten."""
+"""Jobs with dependencies: none starts too early, is left orphaned or is never released."""
 
 import asyncio
 from typing import Any
@@ -21,10 +21,10 @@
 from piped import Piped
 from test_placement_rentals import spec
 
-LIMIT_S = 1.0  # from the durable end of a stage to the start of the next, where room is there
+LIMIT_S = 1.0  # from the durable end of a stage to the start of the next, with idle machines
 
 
-# -- the graph alone ------------------------------------------------------------------
+# -- the dependency graph ------------------------------------------------------------------
 
 
 def _job(name: str, waits: list[str], log: OpLog, **changes: Any) -> Job:
@@ -35,9 +35,10 @@
 
 
 class Pipelines(RuleBasedStateMachine):
-    """Submit, done, abort, takeover, late reads: held, free and cancelled as the facts say.
+    """Guards against jobs released or cancelled otherwise than the durable facts say.
 
-    Truth is what is durable: `ends`, and the aborts of jobs that are not over.
+    The rules submit, run, end and abort jobs, change the leader and read ends late. The durable
+    facts are `ends` and the aborts of jobs that are not over.
     """
 
     @initialize()
@@ -45,11 +46,11 @@
         self.named: dict[str, list[str]] = {}
         self.ends: dict[str, str] = {}
         self.aborts: set[str] = set()
-        self.started: set[str] = set()  # some attempt is durable
+        self.started: set[str] = set()  # jobs with a durable attempt
         self.lead()
 
     def lead(self) -> None:
-        """A new term: only what is durable is known."""
+        """Begins a new term, which knows durable facts only."""
         self.log = OpLog(16 * 1024)
         self.jobs: dict[str, Job] = {}
         self.over: dict[str, str] = {}
@@ -118,25 +119,29 @@
         if name in self.ends:
             self.graph.job_ended(name, self.ends[name], 5.0)
 
-    def doomed(self, name: str) -> bool:
-        """Something before it is cancelled, as far as durable facts say."""
+    def has_cancelled_predecessor(self, name: str) -> bool:
+        """Tells whether a predecessor is cancelled according to the durable facts."""
         return any(
-            self.ends.get(before) == "withdrawn" or before in self.aborts or self.doomed(before)
+            self.ends.get(before) == "withdrawn"
+            or before in self.aborts
+            or self.has_cancelled_predecessor(before)
             for before in self.named[name]
             if self.ends.get(before) != "done"
         )
 
     @invariant()
-    def as_the_facts_say(self) -> None:
+    def matches_durable_facts(self) -> None:
         for name, job in getattr(self, "jobs", {}).items():
             waits = [b for b in self.named[name] if self.ends.get(b) != "done"]
             if not job.is_blocked:
                 assert not waits, f"{name} may run, {waits} are not done"
             elif not job.aborted and self.graph.is_cancellation_known(job):
-                assert not self.doomed(name), f"{name} is not cancelled with what it needs"
+                assert not self.has_cancelled_predecessor(name), (
+                    f"{name} is not cancelled with what it needs"
+                )
                 assert waits, f"{name} waits for nothing"
             if job.aborted:
-                assert name in self.aborts or self.doomed(name)
+                assert name in self.aborts or self.has_cancelled_predecessor(name)
             if job.is_blocked and not job.aborted:
                 assert len(job.waiting) == 0 and not job.startable_count
 
@@ -148,15 +153,16 @@
 
 
 def test_urgency_and_deadline_are_taken_from_successors_and_given_back() -> None:
+    """Guards against predecessors that ignore a successor's deadline or keep its urgency."""
     log = OpLog(16 * 1024)
-    made = {
+    jobs = {
         "run-1": _job("run-1", [], log, urgency="best_effort"),
         "run-2": _job("run-2", ["run-1"], log, urgency="standard"),
         "run-3": _job("run-3", ["run-2"], log, urgency="high", dueS=100.0),
         "run-4": _job("run-4", ["run-1"], log, urgency="prod", dueS=500.0),
     }
-    graph = Graph(made, {}, lambda job: None, lambda job: None)
-    for job in made.values():
+    graph = Graph(jobs, {}, lambda job: None, lambda job: None)
+    for job in jobs.values():
         graph.add_job(job, 0.0)
 
     def dues(job: Job) -> list[float]:
@@ -167,25 +173,26 @@
         )
 
     propagate_requirements(graph, dues, lambda job: 10.0)
-    assert made["run-1"].due_times == [80.0, 180.0] and made["run-2"].due_times == [90.0, 190.0]
-    assert [job.spec.urgency for job in made.values()] == ["prod", "high", "high", "prod"]
-    assert made["run-1"].submitted_spec.urgency == "best_effort"  # what is on record stays
-    made["run-4"].aborted = True
+    assert jobs["run-1"].due_times == [80.0, 180.0] and jobs["run-2"].due_times == [90.0, 190.0]
+    assert [job.spec.urgency for job in jobs.values()] == ["prod", "high", "high", "prod"]
+    assert jobs["run-1"].submitted_spec.urgency == "best_effort"  # the recorded urgency stays
+    jobs["run-4"].aborted = True
     propagate_requirements(graph, dues, lambda job: 10.0)
-    assert made["run-1"].spec.urgency == "high"
-    made["run-3"].aborted = True
+    assert jobs["run-1"].spec.urgency == "high"
+    jobs["run-3"].aborted = True
     propagate_requirements(graph, dues, lambda job: 10.0)
-    assert made["run-1"].spec.urgency == "standard" and made["run-1"].due_times is None
-    graph.remove_ended_job(made["run-2"])  # over before anything was worked out anew
-    graph.remove_ended_job(made["run-4"])
-    assert made["run-1"].spec.urgency == "best_effort"
+    assert jobs["run-1"].spec.urgency == "standard" and jobs["run-1"].due_times is None
+    graph.remove_ended_job(jobs["run-2"])  # over before the next propagation
+    graph.remove_ended_job(jobs["run-4"])
+    assert jobs["run-1"].spec.urgency == "best_effort"
 
 
-# -- in the region ----------------------------------------------------------------------
+# -- in the simulated region ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_day_of_pipelines_under_troubles(seed: int) -> None:
+    """Guards against jobs with dependencies that start too early or never end under faults."""
     world = play(seed + 200, jobs=40, kind=Piped)
     assert sum(bool(job["spec"].get("waitsOn")) for job in world.jobs.values()) > 4
     assert not [name for name, job in world.jobs.items() if not job["over"]]
@@ -199,13 +206,13 @@
     return world.spec(number, **(plain | {"waitsOn": waits} | changes))
 
 
-async def _taken(world: World, made: dict[str, Any], member: str = "n-0") -> tuple[int, Any]:
-    """Submit as its user would, until it is taken or refused, then go on asking."""
-    name = made["nameId"]
+async def _submit(world: World, submission: dict[str, Any], member: str = "n-0") -> tuple[int, Any]:
+    """Submits a job as its user would, until it is accepted or rejected; then polls its status."""
+    name = submission["nameId"]
     while True:
         node = world.nodes[member]
         assert node is not None
-        raw = msgspec.json.encode(made)
+        raw = msgspec.json.encode(submission)
         answer: tuple[int, Any] = await world.within(member, node.handle("POST", "/v2/runs", raw))
         if answer[0] != 503:
             break
@@ -213,13 +220,13 @@
     if answer[0] in (200, 201):
         spawned = world.jobs.get(name)
         if spawned is None:
-            world.spawn(world.user(made, None))
+            world.spawn(world.user(submission, None))
             while not world.jobs.get(name, {}).get("accepted"):
                 await asyncio.sleep(0.05)
     return answer
 
 
-async def _over(world: World, names: list[str], within: float = 200.0) -> None:
+async def _wait_until_over(world: World, names: list[str], within: float = 200.0) -> None:
     deadline = world.now + within
     while not all(world.jobs[name]["over"] for name in names):
         if world.failure is not None:
@@ -229,75 +236,82 @@
 
 
 def test_statuses_of_submissions_that_name_jobs() -> None:
-    async def story(world: World) -> None:
+    """Guards against submissions with invalid dependencies that are accepted, at any member."""
+
+    async def scenario(world: World) -> None:
         first = _named(world, 1, [])
         first["waitsOn"] = None
-        assert (await _taken(world, first))[0] == 201
+        assert (await _submit(world, first))[0] == 201
         service = _named(world, 2, [], shape="service", expectedS=0.0)
-        assert (await _taken(world, service))[0] == 201
-        for member in world.members:  # the leader, and others that ask it
+        assert (await _submit(world, service))[0] == 201
+        for member in world.members:  # the leader, and members that ask it
             for waits, status in (
                 (["run-000001"], 201),
                 (["run-000001", "run-000001"], 201),
                 ([], 201),
                 (["run-777777"], 422),
                 (["run-000001", "run-777777"], 422),
-                (["run-000002"], 422),  # a service is never done
+                (["run-000002"], 422),  # a service never ends as done
                 ("run-000001", 400),
                 ([1], 400),
                 (["x/../y"], 400),
                 ([f"run-{world.members.index(member) * 10 + 13:06d}"], 400),  # itself
             ):
                 number = world.members.index(member) * 10 + 13
-                made = _named(world, number, [])
-                made["waitsOn"] = waits
+                submission = _named(world, number, [])
+                submission["waitsOn"] = waits
                 if status == 201:
-                    made["nameId"] = f"run-{number * 100 + len(waits):06d}"
-                found = await _taken(world, made, member)
+                    submission["nameId"] = f"run-{number * 100 + len(waits):06d}"
+                found = await _submit(world, submission, member)
                 assert found[0] == status, (member, waits, found)
-        # Without the state service nothing is known of others; who was accepted still was.
+        # Without the state service unknown names can't be checked, so the answer is 503; accepted
+        # jobs stay accepted.
         world.store.outage(4.0)
         node = world.nodes["n-0"]
         assert node is not None
         unknown = msgspec.json.encode(_named(world, 900, ["run-000001", "run-777777"]))
         assert (await world.within("n-0", node.handle("POST", "/v2/runs", unknown)))[0] == 503
 
-    tell(story, loss=0.0, kind=Piped)
+    tell(scenario, loss=0.0, kind=Piped)
 
 
 def test_a_long_list_that_no_value_can_hold() -> None:
-    """200 names of 100 characters under limits of 2 KiB; found again by the next leader."""
+    """Guards against lost dependencies that exceed a value of the state service.
+
+    200 names of 100 characters under limits of 2 KiB are stored in parts, which the next leader
+    must find again and which must be removed in the end.
+    """
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.store.fall()
         names = []
         for number in range(1, 21):
-            made = _named(world, number, [], tasks=1, expectedS=0.5 if number < 20 else 12.0)
-            made |= {"waitsOn": None, "nameId": f"{'r' * 80}-{number:019d}"}
-            assert (await _taken(world, made))[0] == 201
-            names.append(made["nameId"])
+            submission = _named(world, number, [], tasks=1, expectedS=0.5 if number < 20 else 12.0)
+            submission |= {"waitsOn": None, "nameId": f"{'r' * 80}-{number:019d}"}
+            assert (await _submit(world, submission))[0] == 201
+            names.append(submission["nameId"])
         last = _named(world, 500, names * 10, tasks=1)
-        assert (await _taken(world, last))[0] == 201
+        assert (await _submit(world, last))[0] == 201
         assert len([key for key in world.store.keys if key.startswith("cg/need/")]) > 1
         for member in world.leaders():
             await world.restart(member, 0.2)
-        await _over(world, [*names, last["nameId"]])
+        await _wait_until_over(world, [*names, last["nameId"]])
         await asyncio.sleep(3.0)
         assert not [key for key in world.store.keys if key.startswith("cg/need/")]
 
-    tell(story, loss=0.0, kind=Piped)
+    tell(scenario, loss=0.0, kind=Piped)
 
 
 def test_a_stage_starts_within_a_second_of_the_durable_end_of_the_last() -> None:
-    """A chain, a diamond and many on one, with idle machines there; also deep chains."""
+    """Guards against slow releases in a chain of 50 jobs and a diamond, with idle machines."""
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         chain = [_named(world, n, [f"run-{n - 1:06d}"] if n > 1 else []) for n in range(1, 51)]
         chain[0]["waitsOn"] = None
         sides = [_named(world, n, ["run-000050"]) for n in (51, 52)]
         end = _named(world, 53, ["run-000051", "run-000052"])
-        for made in (*chain, *sides, end):
-            assert (await _taken(world, made))[0] == 201
+        for submission in (*chain, *sides, end):
+            assert (await _submit(world, submission))[0] == 201
         ends: dict[str, float] = {}
         while not world.jobs["run-000053"]["over"]:
             for key in [k for k in world.store.keys if k.startswith("cg/end/")]:
@@ -306,38 +320,47 @@
                 raise world.failure
             await asyncio.sleep(0.02)
         pauses = []
-        for made in (*chain[1:], *sides, end):
-            begun = max(ends[name] for name in made["waitsOn"])
-            pauses.append(world.jobs[made["nameId"]]["first"] - begun)
+        for submission in (*chain[1:], *sides, end):
+            begun = max(ends[name] for name in submission["waitsOn"])
+            pauses.append(world.jobs[submission["nameId"]]["first"] - begun)
         pauses.sort()
         assert pauses[len(pauses) * 8 // 10] < LIMIT_S, pauses
-        assert pauses[-1] < 4 * LIMIT_S, pauses  # all idle machines between two reports
+        # At worst all idle machines are between two reports.
+        assert pauses[-1] < 4 * LIMIT_S, pauses
 
-    tell(story, loss=0.0, kind=Piped)
+    tell(scenario, loss=0.0, kind=Piped)
 
 
 @pytest.mark.parametrize("case", ["led", "leader lost", "leader gone", "outage"])
 def test_a_cascade_of_500_is_told_in_time_whoever_leads(case: str) -> None:
-    """Before the changes for it are affordable, and by who only reads."""
+    """Guards against cancelled jobs that are reported as waiting, whichever member answers.
 
-    async def story(world: World) -> None:
+    The status must be right before the leader can afford to write the cancellations, and also at
+    members that only read the record.
+    """
+
+    async def scenario(world: World) -> None:
         world.store.fall()
         first = _named(world, 1, [], expectedS=500.0, tasks=1)
         first["waitsOn"] = None
-        assert (await _taken(world, first))[0] == 201
+        assert (await _submit(world, first))[0] == 201
         waits = ["run-000001"]
         names = []
         for number in range(2, 502):
-            made = _named(world, number, waits, tasks=1)
+            submission = _named(world, number, waits, tasks=1)
             if number % 50 == 0:
-                waits = [made["nameId"]]
-            names.append(made["nameId"])
-            world.jobs[made["nameId"]] = {"spec": made, "aborted": None, "accepted": True}
-            world.jobs[made["nameId"]] |= {"over": None, "at": world.now, "replicas": set()}
+                waits = [submission["nameId"]]
+            names.append(submission["nameId"])
+            world.jobs[submission["nameId"]] = {
+                "spec": submission,
+                "aborted": None,
+                "accepted": True,
+            }
+            world.jobs[submission["nameId"]] |= {"over": None, "at": world.now, "replicas": set()}
             node = world.nodes["n-1"]
             assert node is not None
             while True:
-                raw = msgspec.json.encode(made)
+                raw = msgspec.json.encode(submission)
                 if (await world.within("n-1", node.handle("POST", "/v2/runs", raw)))[0] < 300:
                     break
         world.jobs["run-000001"]["asked"] = True
@@ -348,7 +371,7 @@
         told = world.now
         for member in world.leaders() if case in ("leader lost", "leader gone") else ():
             world.crash(member)
-        if case == "leader gone":  # nobody can become leader: only reads are left
+        if case == "leader gone":  # no member can lead, so only reads of the record are left
             for name, node in world.nodes.items():
                 if node is not None:
                     node.leadership.is_eligible = lambda: False
@@ -369,17 +392,20 @@
         if world.failure is not None:
             raise world.failure
 
-    tell(story, loss=0.0, kind=Piped)
+    tell(scenario, loss=0.0, kind=Piped)
 
 
 @pytest.mark.parametrize("off", [["leader"], ["state"], ["others"], ["state", "others"]])
 def test_submissions_at_a_node_that_is_cut_off(off: list[str]) -> None:
-    """Never 422 for an accepted name, never taken with one that nobody was told of."""
+    """Guards against wrong answers of a member without some of its links.
+
+    It must never reject an accepted name with 422, nor accept a job with an unknown name.
+    """
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         first = _named(world, 1, [], expectedS=20.0)
         first["waitsOn"] = None
-        assert (await _taken(world, first, world.leaders()[0]))[0] == 201
+        assert (await _submit(world, first, world.leaders()[0]))[0] == 201
         lead = world.leaders()[0]
         member = next(name for name in world.members if name != lead)
         sides = {"leader": {lead}, "state": {"state"}, "others": set(world.members) - {member}}
@@ -389,26 +415,26 @@
         while world.now < 1030.0:
             for waits in (["run-000001"], ["run-777777"], ["run-000001", "run-777777"]):
                 number += 1
-                made = _named(world, number, waits)
+                submission = _named(world, number, waits)
                 node = world.nodes[member]
                 assert node is not None
-                raw = msgspec.json.encode(made)
+                raw = msgspec.json.encode(submission)
                 answer = await world.within(member, node.handle("POST", "/v2/runs", raw))
                 known = {201, 503} if waits == ["run-000001"] else {422, 503}
                 assert answer[0] in known, (waits, answer)
                 seen.add(answer[0])
                 if answer[0] == 201:
-                    world.spawn(world.user(made, None))
+                    world.spawn(world.user(submission, None))
             await asyncio.sleep(1.0)
-        assert {201, 422} <= seen  # at the latest when the cut is over
-        await _over(world, list(world.jobs))
+        assert {201, 422} <= seen  # at the latest once the links are restored
+        await _wait_until_over(world, list(world.jobs))
 
-    tell(story, loss=0.0, kind=Piped)
+    tell(scenario, loss=0.0, kind=Piped)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_controllers_in_a_cascade_of_restarts_with_a_slow_one(seed: int) -> None:
-    """Every few seconds the next ends, as stages do; one computes late; limits fall between."""
+    """Guards against lost jobs when members restart in turn, one freezes and limits shrink."""
 
     def prepare(world: World) -> None:
         assert isinstance(world, Piped)
@@ -428,10 +454,10 @@
     assert not [name for name, job in world.jobs.items() if not job["over"]]
 
 
-# -- bugs put in on purpose ---------------------------------------------------------------
+# -- injected bugs ---------------------------------------------------------------
 
 
-def _by_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def _release_before_durable_end(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = JobRegistry.update_ending
 
     def progressed(self: JobRegistry, job: Job) -> None:
@@ -442,25 +468,25 @@
     monkeypatch.setattr(JobRegistry, "update_ending", progressed)
 
 
-def _no_look_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def _no_dependency_check(monkeypatch: pytest.MonkeyPatch) -> None:
     async def refusal(self: DependencyCheck, names: list[str], term: Any) -> None:
         return None
 
     monkeypatch.setattr(DependencyCheck, "dependency_rejection", refusal)
 
 
-def _cascade_lost(monkeypatch: pytest.MonkeyPatch) -> None:
+def _unresolved_counted_as_done(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = Graph.add_job
 
     def enter(self: Graph, job: Job, now: float) -> None:
         plain(self, job, now)
-        for name in list(self.unresolved):  # as if whoever is over had been done
+        for name in list(self.unresolved):  # as if every ended job had ended as done
             self.job_ended(name, "done", now)
 
     monkeypatch.setattr(Graph, "add_job", enter)
 
 
-def _not_held(monkeypatch: pytest.MonkeyPatch) -> None:
+def _never_blocked(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Job, "block", lambda self: None)
     monkeypatch.setattr(pipelines_part._DependencyConstraint, "is_ready", lambda self, job: True)
 
@@ -472,16 +498,15 @@
 @pytest.mark.parametrize(
     ("bug", "found"),
     [
-        (_by_memory, "too_early"),
-        (_no_look_up, "names no job"),
-        (_cascade_lost, "too_early|orphaned|went_back"),
-        (_not_held, "too_early"),
+        (_release_before_durable_end, "too_early"),
+        (_no_dependency_check, "names no job"),
+        (_unresolved_counted_as_done, "too_early|orphaned|went_back"),
+        (_never_blocked, "too_early"),
         (_never_cancelled, "orphaned|went_back"),
     ],
 )
-def test_bugs_put_in_on_purpose_are_found(
-    bug: Any, found: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_injected_bugs_are_detected(bug: Any, found: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shows that the rules of the region detect each injected bug."""
     bug(monkeypatch)
     with pytest.raises(Broken, match=found):
         for seed in range(12):
@@ -489,7 +514,7 @@
 
 
 def test_a_wanted_urgency_never_given_back_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check of the unit above fails on an `propagate_requirements` that only ever raises."""
+    """Shows that the unit test above fails if a job keeps an urgency that it no longer inherits."""
     kept: dict[str, JobSpec] = {}
     plain = propagate_requirements
 
