--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -19,14 +19,14 @@
     """Counted licences of one term."""
 
     def __init__(
-        self, office: LeaderContext, queues: Queues, settings: LicenceSettings, http: Http
+        self, context: LeaderContext, queues: Queues, settings: LicenceSettings, http: Http
     ) -> None:
         self.requirements = SeatRequirements(settings)
         self.constraint = SeatConstraint(self.requirements, queues, self.usable_seats)
         self.start_constraints = [self.constraint]
-        rng = random.Random(office.token)
+        rng = random.Random(context.token)
         self.checkouts = create_checkouts(
-            self.requirements, office.token, http, office.clock, rng, self.wanted_seats
+            self.requirements, context.token, http, context.clock, rng, self.wanted_seats
         )
         self.decision_loops = [checkouts.run for checkouts in self.checkouts.values()]
 
--- a/src/chalkgrade/moves/integer_program.py
+++ b/src/chalkgrade/moves/integer_program.py
@@ -21,9 +21,9 @@
     work is excluded as in `planner.is_target_allowed`, for each moved task on its own.
     """
     hosts = [
-        place
-        for place in problem.places
-        if place.pool in problem.pools and fits(problem.room, place.total)
+        machine
+        for machine in problem.places
+        if machine.pool in problem.pools and fits(problem.room, machine.total)
     ]
     pairs = [
         (number, resident, target)
@@ -51,7 +51,7 @@
         by_host.setdefault(number, []).append((column, resident.room))
     for (number, _), columns in by_resident.items():
         rows.append(({**dict.fromkeys(columns, 1.0), number: -1.0}, -np.inf, 0.0))
-    free = {place.name: place.free for place in problem.places}
+    free = {machine.name: machine.free for machine in problem.places}
     for name, incoming in by_target.items():
         for kind in range(3):
             rows.append(({c: room[kind] for c, room in incoming}, -np.inf, free[name][kind] + 1e-9))
--- a/src/chalkgrade/moves/planner.py
+++ b/src/chalkgrade/moves/planner.py
@@ -72,26 +72,26 @@
         return sum(move.cost for move in self.moves)
 
 
-def image_fetch_cost(resident: MovableTask, place: MachineState) -> float:
+def image_fetch_cost(resident: MovableTask, machine: MachineState) -> float:
     """Returns the CPU-seconds for which a task is idle at a target while its image is fetched."""
-    if not resident.gb or resident.bundle in place.images:
+    if not resident.gb or resident.bundle in machine.images:
         return 0.0
-    return resident.gb / max(place.pull_gb_s, EPS) * resident.room[0]
+    return resident.gb / max(machine.pull_gb_s, EPS) * resident.room[0]
 
 
 def is_target_allowed(
-    resident: MovableTask, place: MachineState, free: Vector, others: Iterable[Vector]
+    resident: MovableTask, machine: MachineState, free: Vector, others: Iterable[Vector]
 ) -> bool:
     """Tells whether a target has room for a task without losing the room of other waiting tasks."""
-    if place.pool not in resident.pools or not fits(resident.room, free):
+    if machine.pool not in resident.pools or not fits(resident.room, free):
         return False
     after = minus(free, resident.room)
     return all(fits(room, after) or not fits(room, free) for room in others)
 
 
-def missing_resources(problem: PlacementProblem, place: MachineState) -> Vector:
+def missing_resources(problem: PlacementProblem, machine: MachineState) -> Vector:
     """Returns the resources that a host lacks for the large task."""
-    return tuple(max(0.0, n - f) for n, f in zip(problem.room, place.free, strict=True))
+    return tuple(max(0.0, n - f) for n, f in zip(problem.room, machine.free, strict=True))
 
 
 @dataclass
@@ -102,10 +102,10 @@
     host: MachineState
     best: Plan | None
     steps: int
-    open: list[MachineState]  # machines with free CPUs that are considered as targets
-    leave: list[tuple[float, MovableTask]] = field(
-        default_factory=list
-    )  # least cost and task, best first
+    open_machines: list[MachineState]  # machines with free CPUs that are considered as targets
+    # Tasks that may be moved away, with the least cost of each, best first.
+    candidates: list[tuple[float, MovableTask]] = field(default_factory=list)
+    # Task -> its cheapest targets, with the cost of the image fetch.
     targets: dict[str, list[tuple[float, MachineState]]] = field(default_factory=dict)
 
     def run(self) -> None:
@@ -118,38 +118,38 @@
         for resident in self.host.residents:
             found = sorted(
                 (
-                    (image_fetch_cost(resident, place), place.free[0], place.name, place)
-                    for place in self.open
-                    if place.name != self.host.name
-                    and is_target_allowed(resident, place, place.free, self.problem.others)
+                    (image_fetch_cost(resident, machine), machine.free[0], machine.name, machine)
+                    for machine in self.open_machines
+                    if machine.name != self.host.name
+                    and is_target_allowed(resident, machine, machine.free, self.problem.others)
                 ),
                 key=lambda row: row[:3],
             )[: constants.MOVE_TARGETS]
             if found:
                 self.targets[resident.task] = [(row[0], row[3]) for row in found]
-                self.leave.append((resident.loss + found[0][0], resident))
-        lack = missing_resources(self.problem, self.host)
+                self.candidates.append((resident.loss + found[0][0], resident))
+        missing = missing_resources(self.problem, self.host)
         # Tasks that free the largest share of the missing resources for their cost come first.
-        self.leave.sort(
-            key=lambda row: (row[0] / max(_useful_share(row[1], lack), EPS), row[1].task)
+        self.candidates.sort(
+            key=lambda row: (row[0] / max(_useful_share(row[1], missing), EPS), row[1].task)
         )
 
-    def _branch(self, at: int, lack: Vector, cost: float, chosen: list[MovableTask]) -> None:
+    def _branch(self, at: int, missing: Vector, cost: float, chosen: list[MovableTask]) -> None:
         self.steps -= 1
         if self.steps <= 0:
             return
-        if all(amount <= EPS for amount in lack):
+        if all(amount <= EPS for amount in missing):
             self._assign_targets(chosen)
             return
-        if cost + _cost_lower_bound(self.leave[at:], lack) >= self._cost_bound():
+        if cost + _cost_lower_bound(self.candidates[at:], missing) >= self._cost_bound():
             return
-        if at == len(self.leave):
+        if at == len(self.candidates):
             return
-        least, resident = self.leave[at]
-        if _useful_share(resident, lack) > EPS:
-            after = tuple(max(0.0, a - r) for a, r in zip(lack, resident.room, strict=True))
+        least, resident = self.candidates[at]
+        if _useful_share(resident, missing) > EPS:
+            after = tuple(max(0.0, a - r) for a, r in zip(missing, resident.room, strict=True))
             self._branch(at + 1, after, cost + least, [*chosen, resident])
-        self._branch(at + 1, lack, cost, chosen)
+        self._branch(at + 1, missing, cost, chosen)
 
     def _cost_bound(self) -> float:
         return self.best.cost - EPS if self.best is not None else float("inf")
@@ -159,11 +159,11 @@
         free: dict[str, Vector] = {}
         moves: list[Move] = []
         for resident in sorted(chosen, key=lambda r: (-r.room[0], -r.room[2], r.task)):
-            for cost, place in self.targets[resident.task]:
-                left = free.get(place.name, place.free)
-                if is_target_allowed(resident, place, left, self.problem.others):
-                    free[place.name] = minus(left, resident.room)
-                    moves.append(Move(resident, self.host.name, place.name, resident.loss + cost))
+            for cost, machine in self.targets[resident.task]:
+                left = free.get(machine.name, machine.free)
+                if is_target_allowed(resident, machine, left, self.problem.others):
+                    free[machine.name] = minus(left, resident.room)
+                    moves.append(Move(resident, self.host.name, machine.name, resident.loss + cost))
                     break
             else:
                 return
@@ -172,35 +172,35 @@
             self.best = plan
 
 
-def _useful_share(resident: MovableTask, lack: Vector) -> float:
+def _useful_share(resident: MovableTask, missing: Vector) -> float:
     """Returns the largest share of a missing resource that moving the task would free."""
     return max(
-        (min(r, a) / a for r, a in zip(resident.room, lack, strict=True) if a > EPS), default=0.0
+        (min(r, a) / a for r, a in zip(resident.room, missing, strict=True) if a > EPS), default=0.0
     )
 
 
-def _cost_lower_bound(leave: list[tuple[float, MovableTask]], lack: Vector) -> float:
+def _cost_lower_bound(candidates: list[tuple[float, MovableTask]], missing: Vector) -> float:
     """Returns a lower bound of the cost of freeing the missing resources.
 
     Tasks are taken in fractions, cheapest first, for the resource that costs most.
     """
-    worst = 0.0
-    for kind, amount in enumerate(lack):
+    largest_bound = 0.0
+    for kind, amount in enumerate(missing):
         if amount <= EPS:
             continue
         rows = sorted(
-            (cost / r.room[kind], r.room[kind]) for cost, r in leave if r.room[kind] > EPS
+            (cost / r.room[kind], r.room[kind]) for cost, r in candidates if r.room[kind] > EPS
         )
-        bill = 0.0
+        bound = 0.0
         for price, room in rows:
             part = min(room, amount)
-            bill, amount = bill + part * price, amount - part
+            bound, amount = bound + part * price, amount - part
             if amount <= EPS:
                 break
         if amount > EPS:
             return float("inf")
-        worst = max(worst, bill)
-    return worst
+        largest_bound = max(largest_bound, bound)
+    return largest_bound
 
 
 def find_plan(problem: PlacementProblem, steps: int = constants.MOVE_STEPS) -> Plan | None:
@@ -209,28 +209,32 @@
     Hosts are searched in the order of their lower bounds, so that most need no search.
     """
     hosts: list[tuple[float, str, MachineState]] = []
-    every: Vector = (0.0, 0.0, 0.0)
-    for place in problem.places:
-        every = plus(every, place.free)
-    if not fits(problem.room, every):
+    total_free: Vector = (0.0, 0.0, 0.0)
+    for machine in problem.places:
+        total_free = plus(total_free, machine.free)
+    if not fits(problem.room, total_free):
         return None  # the free resources of all machines together are too little
-    for place in problem.places:
-        if place.pool not in problem.pools or not fits(problem.room, place.total):
+    for machine in problem.places:
+        if machine.pool not in problem.pools or not fits(problem.room, machine.total):
             continue
-        if fits(problem.room, place.free):
+        if fits(problem.room, machine.free):
             return None  # the task fits already
-        freed = place.free
-        for resident in place.residents:
+        freed = machine.free
+        for resident in machine.residents:
             freed = plus(freed, resident.room)
         if fits(problem.room, freed):
-            rows = [(resident.loss, resident) for resident in place.residents]
+            rows = [(resident.loss, resident) for resident in machine.residents]
             hosts.append(
-                (_cost_lower_bound(rows, missing_resources(problem, place)), place.name, place)
+                (
+                    _cost_lower_bound(rows, missing_resources(problem, machine)),
+                    machine.name,
+                    machine,
+                )
             )
     # The targets with least free CPUs suffice: this fills gaps and keeps empty machines empty.
-    gaps = (place for place in problem.places if place.free[0] > EPS)
+    gaps = (machine for machine in problem.places if machine.free[0] > EPS)
     tightest = heapq.nsmallest(
-        constants.MOVE_OPEN, gaps, key=lambda place: (place.free[0], place.name)
+        constants.MOVE_OPEN, gaps, key=lambda machine: (machine.free[0], machine.name)
     )
     best: Plan | None = None
     for bound, _, host in sorted(hosts, key=lambda row: row[:2])[: constants.MOVE_HOSTS]:
@@ -246,7 +250,7 @@
 
 def apply_plan(problem: PlacementProblem, found: Plan) -> PlacementProblem:
     """Returns the problem with the machines as they are once a plan is done and its task runs."""
-    places = {place.name: place for place in problem.places}
+    places = {machine.name: machine for machine in problem.places}
     for move in found.moves:
         source, target = places[move.source], places[move.target]
         left = tuple(r for r in source.residents if r.task != move.resident.task)
@@ -270,9 +274,9 @@
     for _ in range(count):
         fit = next(
             (
-                place
-                for place in problem.places
-                if place.pool in problem.pools and fits(problem.room, place.free)
+                machine
+                for machine in problem.places
+                if machine.pool in problem.pools and fits(problem.room, machine.free)
             ),
             None,
         )
