--- a/src/chalkgrade/licences/part.py
+++ b/src/chalkgrade/licences/part.py
@@ -45,6 +45,7 @@
         return min(available, self.constraint.used[pool] + self.constraint.waiting[pool])
 
     def samples(self) -> Iterable[Sample]:
+        """Yields the metrics of each pool."""
         pools = self.requirements.pools
         usable = {pool: self.usable_seats(pool) for pool in pools}
         figures = {
--- a/src/chalkgrade/licences/seat_constraint.py
+++ b/src/chalkgrade/licences/seat_constraint.py
@@ -70,6 +70,7 @@
     # -- seats in use --------------------------------------------------------------
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
+        """Counts the seats in use, allots the free ones and withdraws needless stops."""
         self._now = now
         self.used = dict.fromkeys(self.requirements.pools, 0)
         self.waiting = dict.fromkeys(self.requirements.pools, 0)
@@ -96,6 +97,7 @@
         self._withdraw_stops()
 
     def on_released(self, attempt: Attempt) -> None:
+        """Forgets the stop of an attempt that is over."""
         self._requested_stops.pop(attempt, None)
 
     # -- allotment of free seats ------------------------------------------------------
@@ -236,6 +238,7 @@
     # -- queries of a round ------------------------------------------------------------
 
     def max_starts(self, job: Job, count: int) -> int:
+        """Limits starts to free seats that are allotted to the job or open to all."""
         needs = self._seats_by_job.get(job)
         if needs is None:
             return count
@@ -248,15 +251,18 @@
         )
 
     def holds_scarce_resource(self, job: Job) -> bool:
+        """Tells whether tasks of the job hold licence seats."""
         return bool(self.requirements.seats_per_task(job.spec))
 
     def max_demand(self, job: Job, count: int) -> int:
+        """Limits the tasks for which machines may be rented to those with allotted seats."""
         if job in self._seats_by_job:
             return min(count, self._allotted_tasks.get(job, 0))
         # A job that came since the last round gets no rented machine before the next one.
         return 0 if self.requirements.seats_per_task(job.spec) else count
 
     def on_placed(self, job: Job, site: str) -> None:
+        """Counts the seats of a placed task, from the allotment of its job if it is valid."""
         needs = self._seats_by_job.get(job)
         if needs is None:
             return
@@ -272,6 +278,7 @@
                 self._open_seats[pool] -= seats
 
     def refusal_reason(self, job: Job) -> str:
+        """Names the reason of a job without seats, or that the licence server is silent."""
         needs = self._seats_by_job.get(job)
         if needs is None or self.max_starts(job, 1):
             return ""
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -77,6 +77,7 @@
         self.reserved_resources: dict[str, list[tuple[str, Vector]]] = {}
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
+        """Collects the reservations of open plans and pending moves."""
         self.reserved_resources = {}
         registered = self._part.registry.jobs
         for plan in self._part.value.plans:
@@ -98,6 +99,7 @@
         return free
 
     def allows_slot(self, job: Job, slot: Slot) -> bool:
+        """Allows a slot if the job fits besides what is reserved there for others."""
         return slot.name not in self.reserved_resources or fits(
             job.spec.resources, self.unreserved_resources(job, slot)
         )
@@ -109,6 +111,7 @@
                 yield self._part.registry.jobs[move.job], move.index, move.target
 
     def refusal_reason(self, job: Job) -> str:
+        """Names the reason of a job that has an open plan."""
         return REASON_MOVE if any(plan.job == job.name for plan in self._part.value.plans) else ""
 
 
@@ -171,6 +174,7 @@
         return out
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
+        """Records the end of an attempt that is to be moved, and reserves room at its target."""
         for move in self._open_moves():
             if (move.job, move.index, move.number) == (
                 attempt.job.name,
@@ -184,6 +188,7 @@
                 self.persisted_value.mark_changed()
 
     async def run(self) -> None:
+        """Advances the open plans and searches new ones, every MOVE_EVERY_S, until cancelled."""
         while True:
             await asyncio.sleep(constants.MOVE_EVERY_S)
             if self.term_context.is_serving():
@@ -436,6 +441,7 @@
         )
 
     def _adopt(self, job: Job, plan: Plan, duration_s: float, wait_s: float) -> None:
+        """Stores a plan; `duration_s` and `wait_s` are the times with and without it, for the log."""
         wall = self.clock.wall()
         moves = []
         for move in plan.moves:
@@ -458,6 +464,7 @@
         )
 
     def samples(self) -> Iterable[Sample]:
+        """Yields the metrics of plans and moved tasks."""
         yield gauge("moves_plans_open", "Plans under way", len(self.value.plans))
         yield labelled_sample(
             "moves_plans", "Plans by what came of them", "outcome", self.plan_outcomes
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -31,15 +31,19 @@
         self._part = part
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
+        """Updates inherited deadlines and urgency."""
         self._part.update_requirements()
 
     def is_ready(self, job: Job) -> bool:
+        """Excludes blocked jobs."""
         return not job.is_blocked
 
     def max_demand(self, job: Job, count: int) -> int:
+        """Returns no demand for blocked jobs, so that no machine is rented for them."""
         return 0 if job.is_blocked else count
 
     def refusal_reason(self, job: Job) -> str:
+        """Names the reason of blocked jobs."""
         return REASON_DEPENDENCIES if job.is_blocked else ""
 
 
@@ -180,6 +184,7 @@
             log.debug("final status not read: job %s: %s", name, error)
 
     def samples(self) -> Iterable[Sample]:
+        """Yields the metrics of blocked, released and cancelled jobs, and the least slack."""
         jobs = self.registry.jobs.values()
         blocked = Counter(job.spec.jobclass for job in jobs if job.is_blocked)
         yield labelled_sample(
