--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -441,7 +441,7 @@
         )
 
     def _adopt(self, job: Job, plan: Plan, duration_s: float, wait_s: float) -> None:
-        """Stores a plan; `duration_s` and `wait_s` are the times with and without it, for the log."""
+        """Stores a plan; the log gets the seconds with and without it."""
         wall = self.clock.wall()
         moves = []
         for move in plan.moves:
