--- a/src/chalkgrade/cli.py
+++ b/src/chalkgrade/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check settings, play a day, measure."""
+"""The command line: serve, check settings, simulate a day, run experiments."""
 
 import os
 import sys
@@ -11,47 +11,48 @@
 
 from chalkgrade import __version__
 from chalkgrade.extensions import subsystems
-from chalkgrade.logs import LEVELS, set_up
-from chalkgrade.settings import Settings, SettingsError, load
+from chalkgrade.logs import LOG_LEVELS, configure_logging
+from chalkgrade.settings import Settings, SettingsError, load_settings
 
 
-def _fail(text: object) -> None:
-    """One plain line, and the exit code of wrong usage."""
+def _exit_with_error(text: object) -> None:
+    """Print one line and exit with the code for wrong usage."""
     click.echo(f"chalkgrade: {text}", err=True)
     sys.exit(2)
 
 
-def _level(usual: str) -> str:
-    """What LOG_LEVEL says, or what is usual where it says nothing."""
+def _log_level(usual: str) -> str:
+    """The level in LOG_LEVEL, or the default `usual` if it is not set."""
     level = os.environ.get("LOG_LEVEL", usual).lower()
-    if level not in LEVELS:
-        _fail(f"LOG_LEVEL: {level!r} is not one of {', '.join(LEVELS)}")
+    if level not in LOG_LEVELS:
+        _exit_with_error(f"LOG_LEVEL: {level!r} is not one of {', '.join(LOG_LEVELS)}")
     return level
 
 
-def _load(config: str, files: dict[str, str | None]) -> Settings:
+def _load_or_exit(config: str, files: dict[str, str | None]) -> Settings:
+    """Read all settings files; exits with a message if one is invalid."""
     try:
         own = files["operator_settings"]
-        settings = load(Path(config), Path(own) if own else None)
+        settings = load_settings(Path(config), Path(own) if own else None)
         subsystems.read_settings(settings, files)
         return settings
     except SettingsError as error:
-        _fail(error)
+        _exit_with_error(error)
         raise AssertionError from error
 
 
-# Files beside the platform's own: option, and what it is for.
-FILES = {
+# Options for the settings files other than the platform's, with their help texts.
+SETTINGS_FILE_OPTIONS = {
     "--operator-settings": "The operators' own settings (XML), optional.",
     **{f"--{row.name}": row.purpose for row in subsystems.SUBSYSTEMS},
 }
 
 
-def _files(required: bool) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
-    """The options that name the settings' files."""
+def _settings_file_options(required: bool) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
+    """A decorator that adds the options for the settings files to a command."""
 
     def add(command: Callable[..., Any]) -> Callable[..., Any]:
-        for option, purpose in reversed(FILES.items()):
+        for option, purpose in reversed(SETTINGS_FILE_OPTIONS.items()):
             variable = "CHALKGRADE" + option.upper().replace("--", "_").replace("-", "_")
             command = click.option(option, envvar=variable, metavar="FILE", help=purpose)(command)
         return click.option(
@@ -63,7 +64,7 @@
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="chalkgrade")
-@_files(required=False)
+@_settings_file_options(required=False)
 @click.option("--check", "only_check", is_flag=True, help="As the command `check`.")
 @click.pass_context
 def main(
@@ -84,22 +85,22 @@
 
 
 @main.command()
-@_files(required=True)
+@_settings_file_options(required=True)
 def serve(config: str, **files: str | None) -> None:
     """Run one controller until it is killed."""
-    level = _level("info")
-    settings = _load(config, files)
-    set_up(level, settings.operator.log_format)
-    from chalkgrade.serving.daemon import run  # the server's imports are not needed for `check`
+    level = _log_level("info")
+    settings = _load_or_exit(config, files)
+    configure_logging(level, settings.operator.log_format)
+    from chalkgrade.serving.daemon import run  # imported late: `check` does not need the server
 
     run(settings)
 
 
 @main.command()
-@_files(required=True)
+@_settings_file_options(required=True)
 def check(config: str, **files: str | None) -> None:
-    """Check the settings, print a summary and leave."""
-    settings = _load(config, files)
+    """Check the settings, print a summary and exit."""
+    settings = _load_or_exit(config, files)
     cluster = settings.cluster
     click.echo(
         f"{settings.member}: settings are good: {len(settings.others)} peers, "
@@ -108,8 +109,8 @@
     )
 
 
-def _print(found: dict[str, Any], as_json: bool) -> None:
-    """Figures as one JSON object, or a line each."""
+def _print_figures(found: dict[str, Any], as_json: bool) -> None:
+    """Print figures as one JSON object, or one per line."""
     if as_json:
         click.echo(msgspec.json.encode(found))
         return
@@ -125,7 +126,7 @@
 @click.option("--seed", default=1, show_default=True, help="Of all that is drawn.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def play(day: str, seed: int, as_json: bool) -> None:
-    """Play a day from a file in the simulated region; exit code 1 if it failed.
+    """Simulate a day from a file in the simulated region; exits with code 1 if it failed.
 
     Figures are of simulated machines.
     """
@@ -135,12 +136,12 @@
     try:
         found = days.read(Path(day))
     except SettingsError as error:
-        _fail(error)
+        _exit_with_error(error)
         raise AssertionError from error
-    set_up(_level("error"), "plain")
-    told = figures(*play_day(found, seed))
-    _print(told, as_json)
-    sys.exit(0 if told["verdict"] == "ok" else 1)
+    configure_logging(_log_level("error"), "plain")
+    results = figures(*play_day(found, seed))
+    _print_figures(results, as_json)
+    sys.exit(0 if results["verdict"] == "ok" else 1)
 
 
 @main.command()
@@ -156,18 +157,22 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def experiment(name: str, seed: int, seeds: int, as_json: bool) -> None:
-    """Measure something in the simulated region; figures are of simulated machines."""
+    """Run an experiment in the simulated region; figures are of simulated machines."""
     import importlib
 
-    set_up(_level("error"), "plain")
+    configure_logging(_log_level("error"), "plain")
     try:
         module = importlib.import_module(f"chalkgrade.experiments.{name}")
         if seeds != 1 and (seeds < 1 or not hasattr(module, "summary")):
-            _fail(f"experiment: --seeds {seeds}: must be 1 or more, and {name} to sum up")
+            _exit_with_error(
+                f"experiment: --seeds {seeds}: must be 1 or more, and {name} to sum up"
+            )
         found = module.run(seed)
         if seeds > 1:
             rest = [module.play(one) for one in range(seed + 1, seed + seeds)]
             found = module.summary([found, *rest])
     except ModuleNotFoundError as error:
-        _fail(f"experiment: no library {error.name!r}; the extra `experiments` brings it")
-    _print(found, as_json)
+        _exit_with_error(
+            f"experiment: no library {error.name!r}; the extra `experiments` brings it"
+        )
+    _print_figures(found, as_json)
--- a/src/chalkgrade/extensions/subsystems.py
+++ b/src/chalkgrade/extensions/subsystems.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from chalkgrade.settings import Settings, named
+from chalkgrade.settings import Settings, read_settings_file
 
 
 class Subsystem(NamedTuple):
@@ -38,17 +38,17 @@
         path = files.get(row.name)
         if path:
             reading = partial(_module(row.name, "settings").read, platform=settings)
-            settings.parts[row.name] = named(Path(path), reading)
+            settings.parts[row.name] = read_settings_file(Path(path), reading)
 
 
-def create_components(settings: Settings, joint: Any) -> Iterable[Any]:
+def create_components(settings: Settings, subsystem_context: Any) -> Iterable[Any]:
     """Yields the components of the subsystems that are on, in the table's order.
 
-    `joint` is the interface that they get; see `renting.joint`.
+    `subsystem_context` is the interface that they get; see `renting.subsystem_context`.
     """
     for row in SUBSYSTEMS:
         if row.name in settings.parts:
-            yield _module(row.name, "part").join(settings.parts[row.name], joint)
+            yield _module(row.name, "part").join(settings.parts[row.name], subsystem_context)
 
 
 def submission_checks(settings: Settings) -> list[Callable[[Any], str | None]]:
--- a/src/chalkgrade/licences/settings.py
+++ b/src/chalkgrade/licences/settings.py
@@ -1,31 +1,31 @@
-"""The operators' file of pools and needs."""
+"""The operators' file of licence pools and of the jobs that need them."""
 
 import re
 
 import msgspec
 
 from chalkgrade import constants
-from chalkgrade.settings import Settings, SettingsError, number, read_xml, split_addr
+from chalkgrade.settings import Settings, SettingsError, parse_number, read_xml, split_addr
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
-POOL = ("name", "seats", "server", "holder", "timeout_s", "rps")
-NEED = ("pool", "class", "team", "seats")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}\Z")
+POOL_ATTRIBUTES = ("name", "seats", "server", "holder", "timeout_s", "rps")
+NEED_ATTRIBUTES = ("pool", "class", "team", "seats")
 SEATS_MAX = 1_000_000
 
 
 class LicencePool(msgspec.Struct):
-    """A number of seats. Without a server we alone count."""
+    """A pool of seats. Without a server all seats belong to this cluster."""
 
     name: str
     seats: int
     server: str = ""  # host:port
-    holder: str = "chalkgrade"  # whose seats are ours at the server
-    timeout_s: float = 60.0  # the server frees what is not renewed for so long
-    rps: float = 4.0  # requests a second
+    holder: str = "chalkgrade"  # name under which the server lists the seats of this cluster
+    timeout_s: float = 60.0  # the server frees seats that are not renewed for this long
+    rps: float = 4.0  # most requests per second
 
 
 class LicenceNeed(msgspec.Struct):
-    """Tasks of a class, a team, or both need so many seats each; empty stands for all."""
+    """The seats that each task of a class, a team or both needs; an empty field matches all."""
 
     pool: str
     jobclass: str = ""
@@ -34,28 +34,31 @@
 
 
 class LicenceSettings(msgspec.Struct):
-    """Counted licences: none of this, and nothing is paid for them."""
+    """All pools and needs. Without the settings file licences are off and cost nothing."""
 
     pools: list[LicencePool] = []
     needs: list[LicenceNeed] = []
 
 
 def read(text: bytes, platform: Settings) -> LicenceSettings:
-    """As the table of subsystems asks for it."""
+    """Parses the file; called through the table in `extensions.subsystems`."""
     return parse_licences(text)
 
 
 def parse_licences(text: bytes) -> LicenceSettings:
-    """Decode and check; SettingsError names line, field, what was found and what is allowed."""
+    """Decodes and checks the file.
+
+    SettingsError names the line, the field, what was found and what is allowed.
+    """
     root, lines = read_xml(text, "licences")
     out = LicenceSettings()
     for node in root:
-        found = dict(node.attrib)
+        attributes = dict(node.attrib)
         try:
             if node.tag == "pool":
-                out.pools.append(_pool(found, {pool.name for pool in out.pools}))
+                out.pools.append(_parse_pool(attributes, {pool.name for pool in out.pools}))
             elif node.tag == "need":
-                out.needs.append(_need(found, {pool.name for pool in out.pools}))
+                out.needs.append(_parse_need(attributes, {pool.name for pool in out.pools}))
             else:
                 raise SettingsError(f"unknown <{node.tag}>, known are need, pool")
         except SettingsError as error:
@@ -63,44 +66,49 @@
     return out
 
 
-def _only(tag: str, found: dict[str, str], known: tuple[str, ...]) -> None:
-    unknown = sorted(set(found) - set(known))
+def _check_attributes(tag: str, attributes: dict[str, str], known: tuple[str, ...]) -> None:
+    unknown = sorted(set(attributes) - set(known))
     if unknown:
         raise SettingsError(f"{tag}: unknown {unknown[0]!r}, known are {', '.join(known)}")
 
 
-def _seats(field: str, text: str | None) -> int:
-    value = number(field, text, 1, SEATS_MAX)
+def _parse_seats(field: str, text: str | None) -> int:
+    value = parse_number(field, text, 1, SEATS_MAX)
     if value != int(value):
         raise SettingsError(f"{field}: must be a whole number, is {value:g}")
     return int(value)
 
 
-def _pool(found: dict[str, str], names: set[str]) -> LicencePool:
-    _only("pool", found, POOL)
-    name = found.get("name", "")
-    if not NAME.match(name) or name in names:
+def _parse_pool(attributes: dict[str, str], names: set[str]) -> LicencePool:
+    _check_attributes("pool", attributes, POOL_ATTRIBUTES)
+    name = attributes.get("name", "")
+    if not NAME_PATTERN.match(name) or name in names:
         raise SettingsError(f"pool.name: {name!r} is not a name, or appears twice")
-    values: dict[str, object] = {"name": name, "seats": _seats("pool.seats", found.get("seats"))}
-    if "server" in found:
-        split_addr(found["server"], "pool.server")
-        values["server"] = found["server"]
-    if "holder" in found:
-        if not NAME.match(found["holder"]):
-            raise SettingsError(f"pool.holder: {found['holder']!r} is not a name")
-        values["holder"] = found["holder"]
-    for field, low in (("timeout_s", constants.SEAT_TIMEOUT_MIN_S), ("rps", 0.5)):
-        if field in found:
-            values[field] = number(f"pool.{field}", found[field], low, 86400.0)
+    values: dict[str, object] = {
+        "name": name,
+        "seats": _parse_seats("pool.seats", attributes.get("seats")),
+    }
+    if "server" in attributes:
+        split_addr(attributes["server"], "pool.server")
+        values["server"] = attributes["server"]
+    if "holder" in attributes:
+        if not NAME_PATTERN.match(attributes["holder"]):
+            raise SettingsError(f"pool.holder: {attributes['holder']!r} is not a name")
+        values["holder"] = attributes["holder"]
+    for field, low in (("timeout_s", constants.MIN_SEAT_LEASE_S), ("rps", 0.5)):
+        if field in attributes:
+            values[field] = parse_number(f"pool.{field}", attributes[field], low, 86400.0)
     return msgspec.convert(values, LicencePool)
 
 
-def _need(found: dict[str, str], names: set[str]) -> LicenceNeed:
-    _only("need", found, NEED)
-    pool, jobclass, team = (found.get(key, "") for key in ("pool", "class", "team"))
+def _parse_need(attributes: dict[str, str], names: set[str]) -> LicenceNeed:
+    _check_attributes("need", attributes, NEED_ATTRIBUTES)
+    pool, jobclass, team = (attributes.get(key, "") for key in ("pool", "class", "team"))
     if pool not in names:
         known = ", ".join(sorted(names)) or "none"
         raise SettingsError(f"need.pool: no pool {pool!r} before it, there are {known}")
     if not (jobclass or team):
         raise SettingsError("need: a class or a team must be named")
-    return LicenceNeed(pool, jobclass, team, _seats("need.seats", found.get("seats", "1")))
+    return LicenceNeed(
+        pool, jobclass, team, _parse_seats("need.seats", attributes.get("seats", "1"))
+    )
--- a/src/chalkgrade/moves/part.py
+++ b/src/chalkgrade/moves/part.py
@@ -1,9 +1,9 @@
-"""Carrying plans out: a wanted state that lasts across leaders, and the loop towards it.
+"""Carries out plans of moves: a stored desired state and the loop that works towards it.
 
-A plan is durable before anything is stopped for it. Where a task is follows from the
-record of attempts alone, so that a new leader goes on wherever the last one stopped: a
-move whose task is still at its source is stopped there, one that is over is started at
-its target, one that runs anywhere else is settled.
+A plan is durable before any task is stopped for it. Where a task is follows from the record of
+attempts alone, so that a new leader continues where the previous one stopped: a task that is
+still at its source is stopped there, a task that has stopped is started at its target, and a
+move whose task runs anywhere else is complete.
 """
 
 import asyncio
@@ -16,17 +16,17 @@
 from chalkgrade import constants
 from chalkgrade.extensions.components import Component, Sample, gauge, labelled_sample
 from chalkgrade.extensions.constraints import StartConstraint
-from chalkgrade.logs import about
+from chalkgrade.logs import decision_fields
 from chalkgrade.machines.flavors import SPOT_OPTIONS, Pool, tasks_per_machine
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.machines.placement import Slot, may_use_machine, room_wait_s
-from chalkgrade.moves.plan import Place, Plan, Problem, Resident, plan_many
+from chalkgrade.moves.planner import MachineState, MovableTask, PlacementProblem, Plan, find_plans
 from chalkgrade.moves.settings import MoveSettings
-from chalkgrade.outside import Bucket
+from chalkgrade.outside import TokenBucket
 from chalkgrade.record.changes import PersistedValue
 from chalkgrade.record.jobs import Attempt, Job
-from chalkgrade.renting.joint import Joint
 from chalkgrade.renting.renter import Renter
+from chalkgrade.renting.subsystem_context import SubsystemContext
 from chalkgrade.sharing.cluster_snapshot import ClusterSnapshot
 from chalkgrade.sharing.constraints import TeamLimits
 from chalkgrade.sharing.term_context import TermContext
@@ -35,122 +35,137 @@
 log = logging.getLogger("chalkgrade.moves")
 
 MOVES_KEY = "cg/moves"
-WAITING = "waiting for a move"
+REASON_MOVE = "waiting for a move"
 
 
 class MoveRecord(msgspec.Struct):
-    """One task on its way: `home_until` is set once it has stopped (wall time, s)."""
+    """The move of one task.
+
+    `home_until` is set once the task has stopped: the wall time (s) until which its room at
+    the target is reserved.
+    """
 
     job: str
     index: int
-    number: int
-    source: str
-    target: str
+    number: int  # of the attempt that is moved
+    source: str  # machine
+    target: str  # machine
     home_until: float = 0.0
 
 
 class PlanRecord(msgspec.Struct):
-    """Room for one task of a large job on a host, until a wall time."""
+    """A plan that frees a host for one task of a large job; it expires at a wall time."""
 
     job: str
     host: str
-    until: float
+    until: float  # wall time, s
     moves: list[MoveRecord]
 
 
 class MovesValue(msgspec.Struct):
-    """The value under cg/moves: plans under way, and stopped tasks of dropped ones."""
+    """The value of the key cg/moves: open plans, and stopped tasks of closed plans."""
 
     plans: list[PlanRecord] = []
-    homes: list[MoveRecord] = []
+    homes: list[MoveRecord] = []  # tasks of closed plans that may start at their targets
 
 
-class MoveGate(StartConstraint):
-    """Keeps freed room for its large job, and targets for the tasks that come."""
+class MoveConstraint(StartConstraint):
+    """Reserves the freed room for the large job, and room at targets for the moved tasks."""
 
     def __init__(self, part: "Moves") -> None:
         self._part = part
-        self.kept: dict[str, list[tuple[str, Vector]]] = {}
+        self.reserved_resources: dict[str, list[tuple[str, Vector]]] = {}
 
     def begin_round(self, jobs: Iterable[Job], now: float) -> None:
-        self.kept = {}
-        book = self._part.book.jobs
+        """Collects the reservations of open plans and pending moves."""
+        self.reserved_resources = {}
+        registered = self._part.registry.jobs
         for plan in self._part.value.plans:
-            job = book.get(plan.job)
+            job = registered.get(plan.job)
             if job is not None:
-                self.kept.setdefault(plan.host, []).append((job.name, job.spec.resources))
-        for move in self._part.unsettled():
-            room = book[move.job].spec.resources
-            self.kept.setdefault(move.target, []).append((move.job, room))
-
-    def left(self, job: Job, slot: Slot) -> Vector:
-        """What is free on a machine beyond what is kept on it for others."""
+                self.reserved_resources.setdefault(plan.host, []).append(
+                    (job.name, job.spec.resources)
+                )
+        for move in self._part.pending_moves():
+            room = registered[move.job].spec.resources
+            self.reserved_resources.setdefault(move.target, []).append((move.job, room))
+
+    def unreserved_resources(self, job: Job, slot: Slot) -> Vector:
+        """Returns the free resources of a machine less those reserved on it for other jobs."""
         free = slot.free
-        for owner, room in self.kept.get(slot.name, ()):
+        for owner, room in self.reserved_resources.get(slot.name, ()):
             if owner != job.name:
                 free = minus(free, room)
         return free
 
     def allows_slot(self, job: Job, slot: Slot) -> bool:
-        return slot.name not in self.kept or fits(job.spec.resources, self.left(job, slot))
+        """Allows a slot if the job fits besides what is reserved there for others."""
+        return slot.name not in self.reserved_resources or fits(
+            job.spec.resources, self.unreserved_resources(job, slot)
+        )
 
     def priority_starts(self) -> Iterable[tuple[Job, int, str]]:
-        """Stopped tasks start at their targets before anything else is placed."""
-        for move in self._part.unsettled():
+        """Yields the stopped tasks, which start at their targets before other tasks are placed."""
+        for move in self._part.pending_moves():
             if move.home_until:
-                yield self._part.book.jobs[move.job], move.index, move.target
+                yield self._part.registry.jobs[move.job], move.index, move.target
 
     def refusal_reason(self, job: Job) -> str:
-        return WAITING if any(plan.job == job.name for plan in self._part.value.plans) else ""
+        """Names the reason of a job that has an open plan."""
+        return REASON_MOVE if any(plan.job == job.name for plan in self._part.value.plans) else ""
 
 
 class Moves(Component):
-    """Plans and carries out moves under one token."""
+    """Plans and carries out moves within one term."""
 
-    find = staticmethod(plan_many)  # the planner
+    planner = staticmethod(find_plans)  # replaceable, so that experiments can record the plans
 
     def __init__(
         self,
-        domain: TermContext,
+        term_context: TermContext,
         settings: MoveSettings,
         renter: Renter,
-        able: Callable[[Job, int], int],
-        ties: Callable[[Job], bool],
+        max_demand: Callable[[Job, int], int],
+        holds_scarce_resource: Callable[[Job], bool],
     ) -> None:
-        self.domain = domain
+        self.term_context = term_context
         self.settings = settings
         self.renter = renter
-        self.able = able
-        self.ties = ties
-        self.clock = domain.context.clock
-        self.book = domain.registry
-        self.fleet = domain.fleet
+        self.max_demand = max_demand
+        self.holds_scarce_resource = holds_scarce_resource
+        self.clock = term_context.context.clock
+        self.registry = term_context.registry
+        self.fleet = term_context.fleet
         self.value = MovesValue()
-        self.record = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
-        self.persisted_values = [self.record]
-        self.gate = MoveGate(self)
-        self.start_constraints = [self.gate]
+        self.persisted_value = PersistedValue(MOVES_KEY, self._load, lambda: self.value)
+        self.persisted_values = [self.persisted_value]
+        self.constraint = MoveConstraint(self)
+        self.start_constraints = [self.constraint]
         self.decision_loops = [self.run]
-        self.moved_at: dict[tuple[str, int], float] = {}  # task -> wall time of its last move
+        self.moved_at: dict[
+            tuple[str, int], float
+        ] = {}  # (job, index) -> wall time of the last move
         rate = settings.per_minute / 60
-        self.budget = Bucket(self.clock, rate, settings.per_minute)
-        self.tried: dict[object, float] = {}  # shape of work -> when a plan was looked for
-        self.plans: dict[str, int] = {}  # by what came of them
-        self.moves: dict[str, int] = {}
+        self.budget = TokenBucket(self.clock, rate, settings.per_minute)
+        self.planned_at: dict[
+            object, float
+        ] = {}  # constraints and urgency -> time of the last search
+        self.plan_outcomes: dict[str, int] = {}  # closed plans by outcome
+        self.stops_by_cause: dict[str, int] = {}
 
     def _load(self, raw: bytes) -> None:
         self.value = msgspec.json.decode(raw, type=MovesValue)
 
-    # -- what is under way -------------------------------------------------------------
+    # -- open plans -------------------------------------------------------------------
 
-    def _all(self) -> list[MoveRecord]:
+    def _open_moves(self) -> list[MoveRecord]:
         return [*(move for plan in self.value.plans for move in plan.moves), *self.value.homes]
 
-    def unsettled(self) -> list[MoveRecord]:
-        """Moves whose task is at its source, or waits to start at its target."""
+    def pending_moves(self) -> list[MoveRecord]:
+        """Returns moves whose task is still at its source or waits to start at its target."""
         out = []
-        for move in self._all():
-            job = self.book.jobs.get(move.job)
+        for move in self._open_moves():
+            job = self.registry.jobs.get(move.job)
             if job is None or job.aborted or job.aborting:
                 continue
             attempt = job.live.get(move.index)
@@ -159,53 +174,62 @@
         return out
 
     def on_ended(self, machine: Machine | None, attempt: Attempt, cause: str) -> None:
-        for move in self._all():
+        """Records the end of an attempt that is to be moved, and reserves room at its target."""
+        for move in self._open_moves():
             if (move.job, move.index, move.number) == (
                 attempt.job.name,
                 attempt.index,
                 attempt.number,
             ):
-                self.moves[cause or "lost"] = self.moves.get(cause or "lost", 0) + 1
-                move.home_until = self.clock.wall() + constants.MOVE_HOME_S
-                self.record.mark_changed()
+                self.stops_by_cause[cause or "lost"] = (
+                    self.stops_by_cause.get(cause or "lost", 0) + 1
+                )
+                move.home_until = self.clock.wall() + constants.MOVE_TARGET_RESERVATION_S
+                self.persisted_value.mark_changed()
 
     async def run(self) -> None:
+        """Advances the open plans and searches new ones, every MOVE_EVERY_S, until cancelled."""
         while True:
-            await asyncio.sleep(constants.MOVE_EVERY_S)
-            if self.domain.is_serving():
+            await asyncio.sleep(constants.MOVE_SEARCH_INTERVAL_S)
+            if self.term_context.is_serving():
                 self._advance()
-                if len(self.value.plans) < constants.MOVE_PLANS:
-                    self._look()
-                if self.record.is_dirty:
-                    self.book.flush_wanted.set()
+                if len(self.value.plans) < constants.MAX_CONCURRENT_MOVE_PLANS:
+                    self._plan_next_job()
+                if self.persisted_value.is_dirty:
+                    self.registry.flush_wanted.set()
 
     def _advance(self) -> None:
-        """Work out for each plan what is left of it; stop what is still at its source."""
+        """Closes plans that have an outcome; of open plans, stops tasks still at their source."""
         wall = self.clock.wall()
         for plan in list(self.value.plans):
             outcome = self._outcome(plan, wall)
             if outcome:
                 self._close(plan, outcome)
-            elif not self.record.is_dirty:  # durable before anything is stopped for it
+            elif (
+                not self.persisted_value.is_dirty
+            ):  # a plan is durable before a task is stopped for it
                 for move in plan.moves:
-                    attempt = self._at_source(move)
+                    attempt = self._attempt_at_source(move)
                     if attempt is not None and attempt.kill_requested_at is None:
                         attempt.kill_requested_at = self.clock.now()
-                        what = about(self.fleet.token, move.job, move.source, attempt.label)
-                        log.info("moving %s to %s", attempt.label, move.target, extra=what)
-        homes = [m for m in self.unsettled() if m in self.value.homes and m.home_until > wall]
+                        fields = decision_fields(
+                            self.fleet.token, move.job, move.source, attempt.label
+                        )
+                        log.info("move started: %s to %s", attempt.label, move.target, extra=fields)
+        homes = [m for m in self.pending_moves() if m in self.value.homes and m.home_until > wall]
         if homes != self.value.homes:
             self.value.homes = homes
-            self.record.mark_changed()
+            self.persisted_value.mark_changed()
 
-    def _at_source(self, move: MoveRecord) -> Attempt | None:
-        job = self.book.jobs.get(move.job)
+    def _attempt_at_source(self, move: MoveRecord) -> Attempt | None:
+        """Returns the attempt that is to be moved if it is still at its source."""
+        job = self.registry.jobs.get(move.job)
         attempt = job.live.get(move.index) if job is not None else None
         return attempt if attempt is not None and attempt.number == move.number else None
 
     def _outcome(self, plan: PlanRecord, wall: float) -> str:
-        """What came of a plan, or nothing while it is under way."""
-        job = self.book.jobs.get(plan.job)
+        """Returns the outcome of a plan, or an empty string while it is open."""
+        job = self.registry.jobs.get(plan.job)
         if job is None or job.aborted or job.aborting:
             return "not needed"
         if any(attempt.machine == plan.host for attempt in job.live.values()):
@@ -214,7 +238,10 @@
             return "started elsewhere"
         if wall > plan.until:
             return "late"
-        names = [plan.host, *(m.target for m in plan.moves if self._at_source(m) is not None)]
+        names = [
+            plan.host,
+            *(m.target for m in plan.moves if self._attempt_at_source(m) is not None),
+        ]
         for name in names:
             machine = self.fleet.machines.get(name)
             if machine is None or not self.fleet.is_in_service(machine):
@@ -222,141 +249,165 @@
         return ""
 
     def _close(self, plan: PlanRecord, outcome: str) -> None:
-        """Drop a plan: what was stopped goes on to its target, what was not stays."""
-        self.plans[outcome] = self.plans.get(outcome, 0) + 1
+        """Closes a plan. Tasks that were stopped still go to their targets, the others stay."""
+        self.plan_outcomes[outcome] = self.plan_outcomes.get(outcome, 0) + 1
         log.info(
-            "plan for %s on %s: %s",
+            "plan closed: for %s on %s: %s",
             plan.job,
             plan.host,
             outcome,
-            extra=about(self.fleet.token, plan.job, plan.host),
+            extra=decision_fields(self.fleet.token, plan.job, plan.host),
         )
         self.value.plans.remove(plan)
-        until = self.clock.wall() + constants.MOVE_HOME_S
+        until = self.clock.wall() + constants.MOVE_TARGET_RESERVATION_S
         for move in plan.moves:
-            attempt = self._at_source(move)
+            attempt = self._attempt_at_source(move)
             if attempt is not None and not attempt.kill_sent:
                 if not (attempt.job.aborted or attempt.job.aborting):
-                    attempt.kill_requested_at = None  # nobody told it to stop yet
+                    attempt.kill_requested_at = None  # the stop was not sent yet
                 continue
             move.home_until = move.home_until or (until if attempt is None else 0.0)
             if attempt is None or attempt.kill_sent:
                 self.value.homes.append(move)
-        self.record.mark_changed()
+        self.persisted_value.mark_changed()
 
-    # -- looking for plans ---------------------------------------------------------------
+    # -- planning ---------------------------------------------------------------
 
-    def _look(self) -> None:
-        """A plan for the first large job that gains by one."""
+    def _plan_next_job(self) -> None:
+        """Searches a plan for the first waiting job whose last search is long enough ago."""
         jobs = sorted(
-            (job for job in self.book.jobs.values() if self._waits(job)),
-            key=self.domain.queues.scheduling_key,
+            (job for job in self.registry.jobs.values() if self._is_candidate(job)),
+            key=self.term_context.queues.scheduling_key,
         )
         if not jobs:
             return
-        # What fits some machine as it is needs no plan, only its turn.
+        # A job that fits some machine needs no plan: it only waits for its turn.
         now = self.clock.now()
-        least = min(job.spec.vcpus for job in jobs)
-        floor = ClusterSnapshot(self.fleet, self.domain.flavors, self.domain.queues, least, now)
-        slots = floor.all_slots()
+        min_vcpus = min(job.spec.vcpus for job in jobs)
+        snapshot = ClusterSnapshot(
+            self.fleet, self.term_context.flavors, self.term_context.queues, min_vcpus, now
+        )
+        slots = snapshot.all_slots()
         for job in jobs:
-            # One search a look, and each shape of work now and then: a search costs more
-            # than a round, and what found no plan finds none a moment later.
+            # One search per call, and for each shape of work only once per MOVE_RETRY_S: a search
+            # costs more than a scheduling round, and one that found no plan would find none
+            # a moment later either.
             key = (job.spec.machine_constraints, job.spec.urgency_rank)
-            if now - self.tried.get(key, -1e9) >= constants.MOVE_RETRY_S:
-                self.tried[key] = now
-                self._try(job, slots, jobs)
+            if now - self.planned_at.get(key, -1e9) >= constants.MOVE_SEARCH_RETRY_INTERVAL_S:
+                self.planned_at[key] = now
+                self._plan_for_job(job, slots, jobs)
                 return
 
-    def _waits(self, job: Job) -> bool:
+    def _is_candidate(self, job: Job) -> bool:
+        """Tells whether a job may get a plan: it waits long enough and may start a task."""
         spec = job.spec
         if job.aborted or job.aborting or job.is_faulty or not job.startable_count:
             return False
         if (
-            self.clock.wall() - job.eligible_at < constants.MOVE_WAITED_S
+            self.clock.wall() - job.eligible_at < constants.MIN_MOVE_WAIT_S
             or spec.owner in self.settings.optout
         ):
             return False
         if any(plan.job == job.name for plan in self.value.plans):
             return False
-        return self.able(job, 1) > 0
+        return self.max_demand(job, 1) > 0
 
-    def _try(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
-        """Look for a plan for one task, or all of a gang, and adopt it if it gains."""
+    def _plan_for_job(self, job: Job, slots: list[Slot], jobs: list[Job]) -> None:
+        """Searches a plan for one task, or for all of a gang, and adopts it if it pays off."""
         spec = job.spec
-        fitting = [s for s in slots if self._suits(job, s)]
-        if not fitting or any(fits(spec.resources, slot.free) for slot in fitting):
+        suitable = [s for s in slots if self._can_host(job, s)]
+        if not suitable or any(fits(spec.resources, slot.free) for slot in suitable):
             return
         count = len(job.waiting) if spec.shape == "gang" else 1
-        teams = self.domain.context.settings.cluster.teams
-        maxima = TeamLimits({team.name: team for team in teams}, self.domain.queues)
-        maxima.begin_round(self.book.jobs.values(), self.clock.now())
-        if not maxima.is_ready(job) or maxima.max_starts(job, count) < count:
+        teams = self.term_context.context.settings.cluster.teams
+        team_limits = TeamLimits({team.name: team for team in teams}, self.term_context.queues)
+        team_limits.begin_round(self.registry.jobs.values(), self.clock.now())
+        if not team_limits.is_ready(job) or team_limits.max_starts(job, count) < count:
             return
-        # Less urgent work takes what it finds; nothing is kept open for it.
-        mates = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
-        others = {mate.resources for mate in mates if mate.resources != spec.resources}
-        pools = frozenset((s.hosttype, s.site, s.standby) for s in fitting)
-        # Only for a few hosts need be known who could leave them: those that lack least.
-        hosts = heapq.nlargest(constants.MOVE_LOOK, fitting, key=lambda s: (s.free[0], s.name))
+        # Room is preserved only for work of at least the same urgency.
+        competitors = (j.spec for j in jobs if j.spec.urgency_rank >= spec.urgency_rank)
+        other_resources = {
+            competitor.resources
+            for competitor in competitors
+            if competitor.resources != spec.resources
+        }
+        pools = frozenset((s.hosttype, s.site, s.standby) for s in suitable)
+        # Movable tasks are determined only on a few hosts, those with most free CPUs.
+        hosts = heapq.nlargest(
+            constants.MAX_MOVE_CANDIDATE_HOSTS, suitable, key=lambda s: (s.free[0], s.name)
+        )
         names = {slot.name for slot in hosts}
-        places = tuple(self._place(job, slot, slot.name in names) for slot in slots)
-        found = self.find(Problem(spec.resources, pools, places, tuple(sorted(others))), count)
-        if not found:
+        places = tuple(self._machine_state(job, slot, slot.name in names) for slot in slots)
+        plans = self.planner(
+            PlacementProblem(spec.resources, pools, places, tuple(sorted(other_resources))), count
+        )
+        if not plans:
             return
-        took = max(self._takes_s(plan) for plan in found)
-        instead = min(min(room_wait_s(spec, slot) for slot in fitting), self._rent_s(job))
-        cost, tasks = sum(plan.cost for plan in found), sum(len(plan.moves) for plan in found)
-        gain = (min(instead, constants.MOVE_GAIN_S) - took) * spec.vcpus * count
-        if took * self.settings.margin < instead and cost <= gain and self.budget.take(tasks):
-            for plan in found:
-                self._adopt(job, plan, took, instead)
-
-    def _suits(self, job: Job, slot: Slot) -> bool:
+        duration_s = max(self._plan_duration_s(plan) for plan in plans)
+        wait_s = min(min(room_wait_s(spec, slot) for slot in suitable), self._rental_wait_s(job))
+        cost, tasks = sum(plan.cost for plan in plans), sum(len(plan.moves) for plan in plans)
+        gain = (min(wait_s, constants.MAX_MOVE_GAIN_S) - duration_s) * spec.vcpus * count
+        if (
+            duration_s * self.settings.margin < wait_s
+            and cost <= gain
+            and self.budget.try_acquire(tasks)
+        ):
+            for plan in plans:
+                self._adopt(job, plan, duration_s, wait_s)
+
+    def _can_host(self, job: Job, slot: Slot) -> bool:
         spec = job.spec
         pool = (slot.hosttype, slot.site, slot.standby)
         return may_use_machine(spec, *pool) and fits(spec.resources, slot.total)
 
-    def _rent_s(self, job: Job) -> float:
-        """How long until a rented machine could start it; infinite where none is coming.
+    def _rental_wait_s(self, job: Job) -> float:
+        """Returns the time until a machine that boots could run the job; infinite without one.
 
-        What can be had at a price worth it is asked for within a moment of the job's
-        coming, so that only machines on their way count.
+        Machines that are worth their price are requested shortly after the job is submitted,
+        so that only machines that are already booting count.
         """
         now, best = self.clock.now(), float("inf")
         for machine in self.fleet.machines.values():
-            flavor = self.domain.flavors.get(machine.hosttype)
+            flavor = self.term_context.flavors.get(machine.hosttype)
             if machine.reported_at is not None or machine.releasing or flavor is None:
                 continue
             pool = (machine.hosttype, machine.site, machine.standby)
             if may_use_machine(job.spec, *pool) and tasks_per_machine(job.spec, flavor) >= 1:
-                left = self.renter.boots.left(pool, flavor.bootS, now - machine.rented_at)
+                left = self.renter.boot_times.remaining_boot_s(
+                    pool, flavor.bootS, now - machine.rented_at
+                )
                 best = min(best, left if left is not None else float("inf"))
         return best
 
-    def _takes_s(self, plan: Plan) -> float:
-        """From now until the large task can be launched: stops, saves, reports."""
-        jobs = [self.book.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
-        saves = max(job.spec.flushS for job in jobs)
-        return saves + 1.5 * self.fleet.report_s + constants.MOVE_SLACK_S
+    def _plan_duration_s(self, plan: Plan) -> float:
+        """Returns the seconds until the large task can start: stops, saves and reports."""
+        jobs = [self.registry.jobs[m.resident.task.rpartition("/")[0]] for m in plan.moves]
+        save_s = max(job.spec.flushS for job in jobs)
+        return save_s + 1.5 * self.fleet.report_s + constants.MOVE_DURATION_SLACK_S
+
+    def _machine_state(self, job: Job, slot: Slot, host: bool) -> MachineState:
+        """Returns a machine for the planner; resources reserved on it are not free.
 
-    def _place(self, job: Job, slot: Slot, host: bool) -> Place:
-        """A machine as the planner sees it; room that is kept on it is not free."""
+        Only a `host` gets its movable tasks.
+        """
         machine = self.fleet.machines[slot.name]
         residents = [
-            self._resident(attempt, machine)
+            self._movable_task(attempt, machine)
             for attempt in (machine.attempts.values() if host else ())
-            if self._movable(attempt, job)
+            if self._is_movable(attempt, job)
         ]
         pool = (slot.hosttype, slot.site, slot.standby)
-        free = tuple(max(0.0, amount) for amount in self.gate.left(job, slot))
+        free = tuple(max(0.0, amount) for amount in self.constraint.unreserved_resources(job, slot))
         images = frozenset(slot.images | slot.fetching)
-        return Place(slot.name, pool, slot.total, free, images, slot.pull_gb_s, tuple(residents))
+        return MachineState(
+            slot.name, pool, slot.total, free, images, slot.pull_gb_s, tuple(residents)
+        )
 
-    def _movable(self, attempt: Attempt, job: Job) -> bool:
-        """Only what the rules of preemption let be stopped, and loses little by it.
+    def _is_movable(self, attempt: Attempt, job: Job) -> bool:
+        """Tells whether a task may be moved for a job.
 
-        Less urgent work that saves, and replicas, which may be stopped to be moved.
+        These are tasks that preemption may stop and that lose little: batch tasks of lower
+        urgency that write savepoints, and service replicas, which may be stopped to be moved.
         """
         spec = attempt.job.spec
         moved = self.moved_at.get((attempt.job.name, attempt.index), -1e18)
@@ -367,9 +418,9 @@
             or attempt.job.aborted
             or attempt.job.aborting
             or spec.owner in self.settings.optout
-            or self.ties(attempt.job)
+            or self.holds_scarce_resource(attempt.job)
             or self.clock.wall() - moved < self.settings.again_s
-            or any(move.job == attempt.job.name for move in self._all())
+            or any(move.job == attempt.job.name for move in self._open_moves())
         ):
             return False
         if spec.shape == "service":
@@ -380,23 +431,27 @@
             and spec.urgency_rank < job.spec.urgency_rank
         )
 
-    def _resident(self, attempt: Attempt, machine: Machine) -> Resident:
+    def _movable_task(self, attempt: Attempt, machine: Machine) -> MovableTask:
         spec = attempt.job.spec
-        tied = spec.oneZone or spec.spread  # its mates' zones allow it where it is
+        is_zone_bound = (
+            spec.oneZone or spec.spread
+        )  # the zones of its other tasks permit only its present zone
         pools: set[Pool] = {
             (flavor.sku, site, spot)
-            for flavor in self.domain.flavors.values()
+            for flavor in self.term_context.flavors.values()
             for site in flavor.sites
             for spot in SPOT_OPTIONS
-            if may_use_machine(spec, flavor.sku, site, spot) and (not tied or site == machine.site)
+            if may_use_machine(spec, flavor.sku, site, spot)
+            and (not is_zone_bound or site == machine.site)
         }
         loss = (spec.flushS + self.fleet.report_s) * spec.vcpus
         name = attempt.name
-        return Resident(
+        return MovableTask(
             name, attempt.number, spec.resources, loss, spec.bundle, spec.pullGb, frozenset(pools)
         )
 
-    def _adopt(self, job: Job, plan: Plan, took: float, instead: float) -> None:
+    def _adopt(self, job: Job, plan: Plan, duration_s: float, wait_s: float) -> None:
+        """Stores a plan; the log gets the seconds with and without it."""
         wall = self.clock.wall()
         moves = []
         for move in plan.moves:
@@ -404,26 +459,37 @@
             number = move.resident.number
             moves.append(MoveRecord(name, int(index), number, move.source, move.target))
             self.moved_at[name, int(index)] = wall
-        until = wall + constants.MOVE_PLAN_S
+        until = wall + constants.MOVE_PLAN_TIMEOUT_S
         self.value.plans.append(PlanRecord(job.name, plan.host, until, moves))
-        self.record.mark_changed()
+        self.persisted_value.mark_changed()
         log.info(
-            "plan for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
+            "plan adopted: for %s on %s: %d moves, %.0f CPU-seconds, in %.0f s instead of %.0f s",
             job.name,
             plan.host,
             len(moves),
             plan.cost,
-            took,
-            instead,
-            extra=about(self.fleet.token, job.name, plan.host),
+            duration_s,
+            wait_s,
+            extra=decision_fields(self.fleet.token, job.name, plan.host),
         )
 
     def samples(self) -> Iterable[Sample]:
+        """Yields the metrics of plans and moved tasks."""
         yield gauge("moves_plans_open", "Plans under way", len(self.value.plans))
-        yield labelled_sample("moves_plans", "Plans by what came of them", "outcome", self.plans)
-        yield labelled_sample("moves_tasks", "Moved tasks by how they stopped", "cause", self.moves)
+        yield labelled_sample(
+            "moves_plans", "Plans by what came of them", "outcome", self.plan_outcomes
+        )
+        yield labelled_sample(
+            "moves_tasks", "Moved tasks by how they stopped", "cause", self.stops_by_cause
+        )
 
 
-def join(own: MoveSettings, joint: Joint) -> Moves:
-    """The table of subsystems asks for this."""
-    return Moves(joint.domain, own, joint.renter, joint.able, joint.ties)
+def join(settings: MoveSettings, subsystem_context: SubsystemContext) -> Moves:
+    """Creates the component; called through the table in `extensions.subsystems`."""
+    return Moves(
+        subsystem_context.term_context,
+        settings,
+        subsystem_context.renter,
+        subsystem_context.startable_tasks,
+        subsystem_context.holds_scarce_resource,
+    )
--- a/src/chalkgrade/pipelines/graph.py
+++ b/src/chalkgrade/pipelines/graph.py
@@ -1,9 +1,9 @@
-"""Which jobs wait for which: readiness and cancellation, from durable facts only.
+"""The dependency graph: which jobs are ready or cancelled, derived from durable facts only.
 
-A job's predecessors are named in its record and never change; that one of them is over is
-durable before it is told here. So whatever is worked out holds under any later leader too:
-a job whose predecessors are all done stays ready, and one with a cancelled job anywhere
-before it stays cancelled, although its own record does not say so.
+The predecessors of a job are part of its record and never change, and the end of a predecessor
+is durable before it is reported to the graph. The results therefore hold under every later
+leader: a job whose predecessors are all done stays ready, and a job with a cancelled job
+anywhere before it stays cancelled, although its own record does not say so.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -14,7 +14,7 @@
 
 
 class Graph:
-    """The jobs of one term that wait, or are waited for. No input or output."""
+    """The jobs of one term that wait for others or that others wait for. Does no I/O."""
 
     def __init__(
         self,
@@ -23,157 +23,166 @@
         released: Callable[[Job], None],
         cancelled: Callable[[Job], None],
     ) -> None:
-        self.jobs = jobs  # those that are not over
-        self.over = over  # those that ended under this token, and how
-        self.released = released  # all that a job waited for is done
-        self.cancelled = cancelled  # something before it was cancelled
-        self.needs: dict[str, set[str]] = {}  # job that is held -> those that are not done yet
-        self.heirs: dict[str, dict[str, None]] = {}  # job -> those that name it, not over
-        self.unknown: dict[str, None] = {}  # named, and in no record here: to be looked up
-        self._done_at: dict[str, float] = {}  # held job -> wall time of the last end it waited for
-
-    def enter(self, job: Job, now: float) -> None:
-        """A job is known; `now`: wall time. It may have named others, or been named."""
-        self.unknown.pop(job.name, None)
-        if job.name in self.needs or not job.in_pipeline:
+        self.jobs = jobs  # unfinished jobs by name
+        self.over = over  # final status of jobs that ended in this term
+        self.released = released  # called when all dependencies of a job are done
+        self.cancelled = cancelled  # called when a job is cancelled with a predecessor
+        self.unfinished_dependencies: dict[str, set[str]] = {}  # blocked job -> jobs not done
+        self.successors: dict[str, dict[str, None]] = {}  # job -> unfinished jobs that name it
+        self.unresolved: dict[str, None] = {}  # named jobs whose end must be read
+        self._last_end_at: dict[
+            str, float
+        ] = {}  # blocked job -> wall time of its last dependency's end
+
+    def add_job(self, job: Job, now: float) -> None:
+        """Adds a job, which may name others or be named by others. `now` is the wall time."""
+        self.unresolved.pop(job.name, None)
+        if job.name in self.unfinished_dependencies or not job.in_pipeline:
             return
         names = job.submitted_spec.waitsOn or []
         for name in names:
-            self.heirs.setdefault(name, {})[job.name] = None
+            self.successors.setdefault(name, {})[job.name] = None
         if not job.is_blocked or job.aborted:
             return
         if job.pages:
-            # An attempt of it is on record: all that it waits for was durably done before.
+            # An attempt is on record, so all dependencies were durably done before.
             job.unblock(job.accepted_at)
             self.released(job)
             return
-        self.needs[job.name] = set(names)
-        self._done_at[job.name] = job.accepted_at
+        self.unfinished_dependencies[job.name] = set(names)
+        self._last_end_at[job.name] = job.accepted_at
         for name in names:
             status = self.over.get(name)
-            known = self.jobs.get(name)
+            dependency = self.jobs.get(name)
             if status is not None:
-                self._settled(job, name, status, now)
-            elif known is None:
-                self.unknown[name] = None
-            elif known.aborted:
-                self._cancel(job)
-
-    def settle(self, name: str, status: str, at: float) -> None:
-        """A job is durably over since wall time `at`."""
-        self.unknown.pop(name, None)
-        self.needs.pop(name, None)
-        self._done_at.pop(name, None)
-        for heir in self._heirs(name):
-            self._settled(heir, name, status, at)
-
-    def left(self, job: Job) -> None:
-        """A job is over and no more among `jobs`: nobody is needed by it any more."""
-        for before in job.submitted_spec.waitsOn or []:
-            self._disown(before, job.name)
-
-    def aborted(self, job: Job) -> None:
-        """A job is durably aborted, by its user."""
-        self.needs.pop(job.name, None)
-        for heir in self._heirs(job.name):
-            self._cancel(heir)
-
-    def _disown(self, name: str, heir: str) -> None:
-        heirs = self.heirs.get(name)
-        if heirs is not None:
-            heirs.pop(heir, None)
-            if not heirs:
-                del self.heirs[name]
+                self._dependency_ended(job, name, status, now)
+            elif dependency is None:
+                self.unresolved[name] = None
+            elif dependency.aborted:
+                self._cancel_with_successors(job)
+
+    def job_ended(self, name: str, status: str, at: float) -> None:
+        """Handles the durable end of a job at wall time `at`, with its final status."""
+        self.unresolved.pop(name, None)
+        self.unfinished_dependencies.pop(name, None)
+        self._last_end_at.pop(name, None)
+        for successor in self._unfinished_successors(name):
+            self._dependency_ended(successor, name, status, at)
+
+    def remove_ended_job(self, job: Job) -> None:
+        """Removes a job that is over, and no longer in `jobs`, from the successors of others."""
+        for dependency in job.submitted_spec.waitsOn or []:
+            self._remove_successor(dependency, job.name)
+
+    def job_aborted(self, job: Job) -> None:
+        """Cancels the successors of a job that is durably aborted by its user."""
+        self.unfinished_dependencies.pop(job.name, None)
+        for successor in self._unfinished_successors(job.name):
+            self._cancel_with_successors(successor)
+
+    def _remove_successor(self, name: str, successor: str) -> None:
+        """Removes a successor of a job; without any left the job gets its own urgency back."""
+        successors = self.successors.get(name)
+        if successors is not None:
+            successors.pop(successor, None)
+            if not successors:
+                del self.successors[name]
                 job = self.jobs.get(name)
-                if job is not None:  # nobody needs it any more: what it was lent goes back
+                if job is not None:  # no successor is left: drop the inherited urgency and deadline
                     job.spec, job.due_times = job.submitted_spec, None
 
-    def _heirs(self, name: str) -> list[Job]:
-        found = (self.jobs.get(heir) for heir in list(self.heirs.get(name, ())))
+    def _unfinished_successors(self, name: str) -> list[Job]:
+        found = (self.jobs.get(successor) for successor in list(self.successors.get(name, ())))
         return [job for job in found if job is not None]
 
-    def _settled(self, job: Job, name: str, status: str, at: float) -> None:
-        needs = self.needs.get(job.name)
-        if needs is None:
+    def _dependency_ended(self, job: Job, name: str, status: str, at: float) -> None:
+        unfinished = self.unfinished_dependencies.get(job.name)
+        if unfinished is None:
             return
         if status == WITHDRAWN:
-            self._cancel(job)
+            self._cancel_with_successors(job)
             return
-        needs.discard(name)
-        self._done_at[job.name] = max(self._done_at[job.name], at)
-        if not needs:
-            del self.needs[job.name]
-            job.unblock(self._done_at.pop(job.name))
+        unfinished.discard(name)
+        self._last_end_at[job.name] = max(self._last_end_at[job.name], at)
+        if not unfinished:
+            del self.unfinished_dependencies[job.name]
+            job.unblock(self._last_end_at.pop(job.name))
             self.released(job)
 
-    def _cancel(self, first: Job) -> None:
-        """It and all that need it; none of them has ever started."""
+    def _cancel_with_successors(self, first: Job) -> None:
+        """Cancels a blocked job and all its successors, none of which has ever started."""
         stack = [first]
         while stack:
             job = stack.pop()
             if not job.is_blocked or job.aborted:
                 continue
             job.aborted = True
-            self.needs.pop(job.name, None)
-            self._done_at.pop(job.name, None)
+            self.unfinished_dependencies.pop(job.name, None)
+            self._last_end_at.pop(job.name, None)
             self.cancelled(job)
-            stack += self._heirs(job.name)
+            stack += self._unfinished_successors(job.name)
 
-    def sure(self, job: Job) -> bool:
-        """Whether it is known that nothing before a job is cancelled, or being cancelled.
+    def is_cancellation_known(self, job: Job) -> bool:
+        """Tells whether it is certain that no predecessor of a job is or is being cancelled.
 
-        Else another controller, which reads the record, may know better than we do.
+        If it is not, another controller that reads the record may know of a cancellation that
+        this leader does not know yet.
         """
         stack, seen = [job], {job.name}
         while stack:
-            for name in self.needs.get(stack.pop().name, ()):
-                if name in self.unknown:
+            for name in self.unfinished_dependencies.get(stack.pop().name, ()):
+                if name in self.unresolved:
                     return False
-                before = self.jobs.get(name)
-                if before is None:
+                dependency = self.jobs.get(name)
+                if dependency is None:
                     continue
-                if before.aborting:
+                if dependency.aborting:
                     return False
-                if before.is_blocked and name not in seen:
+                if dependency.is_blocked and name not in seen:
                     seen.add(name)
-                    stack.append(before)
+                    stack.append(dependency)
         return True
 
-    def coming(self, ends: Callable[[Job], float], within: float) -> list[tuple[Job, float]]:
-        """The jobs that may run within so many s as things stand, and in how many; the first first.
+    def ready_within(
+        self, remaining_s: Callable[[Job], float], within_s: float
+    ) -> list[tuple[Job, float]]:
+        """Returns the blocked jobs that become ready within `within_s`, and their delay, sorted.
 
-        `ends`: how long a job that may run takes until it is over; s. What waits for a job
-        that waits itself comes later than we look.
+        `remaining_s` returns the seconds until a job that is not blocked is over. Jobs that wait
+        for a blocked job are left out, since they become ready later.
         """
         out = []
-        for name, needs in self.needs.items():
+        for name, unfinished in self.unfinished_dependencies.items():
             job = self.jobs.get(name)
-            before = [self.jobs.get(need) for need in needs]
-            if job is None or not all(b is not None and not b.is_blocked for b in before):
+            dependencies = [self.jobs.get(need) for need in unfinished]
+            if job is None or not all(b is not None and not b.is_blocked for b in dependencies):
                 continue
-            in_s = max((ends(b) for b in before if b is not None), default=0.0)
-            if in_s <= within:
-                out.append((job, in_s))
+            delay_s = max((remaining_s(b) for b in dependencies if b is not None), default=0.0)
+            if delay_s <= within_s:
+                out.append((job, delay_s))
         return sorted(out, key=lambda row: row[1])
 
-    def related(self) -> Iterator[Job]:
-        """All that wait or are waited for, those that nobody waits for first.
+    def successors_first(self) -> Iterator[Job]:
+        """Yields the unfinished jobs with dependencies or successors, each after its successors.
 
-        A job names only jobs that were accepted before it, so there is no circle; should a
-        record say otherwise all the same, its jobs come in any order.
+        A job names only jobs that were accepted before it, so there is no cycle. If a record
+        has one all the same, its jobs come in any order.
         """
         order: list[str] = []
         seen: set[str] = set()
-        for root in [*self.heirs, *(n for heirs in self.heirs.values() for n in heirs)]:
+        for root in [
+            *self.successors,
+            *(n for successors in self.successors.values() for n in successors),
+        ]:
             stack = [(root, False)]
             while stack:
-                name, back = stack.pop()
-                if back:
+                name, visited = stack.pop()
+                if visited:
                     order.append(name)
                 elif name not in seen:
                     seen.add(name)
                     stack.append((name, True))
-                    stack += [(heir, False) for heir in self.heirs.get(name, ())]
+                    stack += [(successor, False) for successor in self.successors.get(name, ())]
         for name in order:
             job = self.jobs.get(name)
             if job is not None:
--- a/src/chalkgrade/pipelines/optimum.py
+++ b/src/chalkgrade/pipelines/integer_program.py
@@ -1,7 +1,7 @@
-"""The best that a clairvoyant could do with small pipelines, by an integer program.
+"""The optimal schedule of small pipelines with full knowledge of the future.
 
-For experiments, never in the daemon: time goes in steps, all that will come is known, and
-what runs is not stopped.
+An integer program for experiments, never used by the daemon. Time is divided into steps, all
+arrivals are known in advance, and running tasks are not stopped.
 """
 
 from typing import NamedTuple
@@ -12,19 +12,21 @@
 
 
 class Stage(NamedTuple):
-    """A job of tasks that take one slot each; `steps`: how long one runs."""
+    """A job whose tasks take one slot each and run for `steps` steps."""
 
     tasks: int
     steps: int
-    arrives: int  # the step from which it may start
-    needs: tuple[int, ...] = ()  # stages that are done before, by number
-    due: int | None = None  # the step by whose begin it should be done
+    arrives: int  # first step in which it may start
+    needs: tuple[int, ...] = ()  # numbers of the stages that must be done before
+    due: int | None = None  # step at whose start it should be done
 
 
-def optimum(stages: list[Stage], slots: int, horizon: int, seconds: float) -> tuple[int, int]:
-    """The fewest late stages, and the least makespan that goes with it; steps.
+def optimal_outcome(
+    stages: list[Stage], slots: int, horizon: int, seconds: float
+) -> tuple[int, int]:
+    """Returns the fewest late stages, and the least makespan in steps among such schedules.
 
-    Raises RuntimeError where the solver (HiGHS) has not proven them in so many seconds.
+    Raises RuntimeError if the solver (HiGHS) has not proven the optimum within `seconds`.
     """
     count, width = len(stages), len(stages) * horizon
     ends = horizon + 1
@@ -62,7 +64,7 @@
         rows.append((running, 0.0, float(slots)))
     cost = np.zeros(columns)
     cost[late : late + count] = float(ends)
-    cost[over : over + ends] = -1.0  # each step at which all is over
+    cost[over : over + ends] = -1.0  # rewards each step at which all stages are over
     high = np.ones(columns)
     for number, stage in enumerate(stages):
         for step in range(horizon):
@@ -74,14 +76,14 @@
     bounds = LinearConstraint(
         matrix.tocsr(), np.array([row[1] for row in rows]), np.array([row[2] for row in rows])
     )
-    found = milp(
+    solution = milp(
         cost,
         integrality=np.ones(columns),
         bounds=Bounds(np.zeros(columns), high),
         constraints=bounds,
         options={"time_limit": seconds},
     )
-    if found.status != 0:
-        raise RuntimeError(f"not proven in {seconds:g} s: {found.message}")
-    overs = int(round(found.x[over : over + ends].sum()))
-    return int(round(found.x[late : late + count].sum())), ends - overs
+    if solution.status != 0:
+        raise RuntimeError(f"optimum not proven in {seconds:g} s: {solution.message}")
+    steps_after_end = int(round(solution.x[over : over + ends].sum()))
+    return int(round(solution.x[late : late + count].sum())), ends - steps_after_end
--- a/src/chalkgrade/pipelines/slack.py
+++ b/src/chalkgrade/pipelines/slack.py
@@ -1,8 +1,8 @@
-"""By when a predecessor is needed, and how urgently: worked out from the last jobs backwards.
+"""Deadlines and urgency that jobs inherit from their successors, by the critical path method.
 
-In the terms of planning by critical path: each job has a latest finish, which lies before
-the latest finish of its successors by what those take; the longest way to a last job is its
-critical path, and what is left of the time until the latest start is its slack.
+The latest finish of a job is the latest finish of its successors less their duration, worked
+out backwards from the last jobs. The longest path to a last job is its critical path, and the
+time left until its latest start is its slack.
 """
 
 from collections.abc import Callable
@@ -12,32 +12,34 @@
 from chalkgrade.pipelines.graph import Graph
 from chalkgrade.record.jobs import Job
 
-Dues = Callable[[Job], list[float]]
+DueTimes = Callable[[Job], list[float]]
 
 
-def inherit(graph: Graph, own: Dues, takes: Callable[[Job], float]) -> None:
-    """Give each predecessor the latest finish and the urgency of those that need it.
+def propagate_requirements(
+    graph: Graph, own_due_times: DueTimes, duration_s: Callable[[Job], float]
+) -> None:
+    """Sets the latest finish and the urgency that each job inherits from its successors.
 
-    `own`: wall times by which a job's own deadlines lie, the first one first; `takes`: s from
-    the moment in which a job may run until it is over. A successor that is cancelled passes
-    nothing on, so that what was taken from it is given back.
+    `own_due_times` returns the wall times of a job's own deadlines in ascending order.
+    `duration_s` returns the seconds from the moment a job may run until it is over. A cancelled
+    successor passes nothing on, so a job loses what it inherited from that successor.
     """
-    for job in graph.related():
-        asked = job.submitted_spec
-        spec = asked
-        needed: list[float] | None = None
-        for name in graph.heirs.get(job.name, ()):
-            heir = graph.jobs.get(name)
-            if heir is None or heir.aborted or heir.aborting:
+    for job in graph.successors_first():
+        submitted = job.submitted_spec
+        spec = submitted
+        inherited: list[float] | None = None
+        for name in graph.successors.get(job.name, ()):
+            successor = graph.jobs.get(name)
+            if successor is None or successor.aborted or successor.aborting:
                 continue
-            if heir.spec.urgency_rank > spec.urgency_rank:
-                spec = msgspec.structs.replace(asked, urgency=heir.spec.urgency)
-            dues = own(heir) or heir.due_times
-            if dues:
-                latest = sorted(due - takes(heir) for due in dues)
-                if needed is None or latest[0] < needed[0]:
-                    needed = latest
+            if successor.spec.urgency_rank > spec.urgency_rank:
+                spec = msgspec.structs.replace(submitted, urgency=successor.spec.urgency)
+            due_times = own_due_times(successor) or successor.due_times
+            if due_times:
+                latest = sorted(due - duration_s(successor) for due in due_times)
+                if inherited is None or latest[0] < inherited[0]:
+                    inherited = latest
         if job.spec.urgency != spec.urgency:
             job.spec = spec
-        job.due_times = needed
-        job.in_pipeline = job.in_pipeline or job.name in graph.heirs
+        job.due_times = inherited
+        job.in_pipeline = job.in_pipeline or job.name in graph.successors
--- a/src/chalkgrade/renting/plan.py
+++ b/src/chalkgrade/renting/plan.py
@@ -1,4 +1,4 @@
-"""Which machines to rent for the work that waits. Pure."""
+"""Decides which machines to rent for waiting work. Does no I/O."""
 
 import heapq
 import math
@@ -9,51 +9,53 @@
 from chalkgrade.machines.flavors import SPOT_OPTIONS, Flavor, Pool, tasks_per_machine
 from chalkgrade.machines.placement import may_use_machine
 from chalkgrade.record.jobs import JobSpec
-from chalkgrade.renting.boots import Boots
-from chalkgrade.renting.headroom import Headroom, step
+from chalkgrade.renting.boot_times import BootTimes
+from chalkgrade.renting.headroom import Headroom, round_up_to_step
 from chalkgrade.renting.report import PlanReport
 
 
 @dataclass
-class Need:
-    """Waiting tasks of a job, or of several that are alike."""
+class RentalNeed:
+    """Waiting tasks of one job, or of several jobs with the same requirements."""
 
     spec: JobSpec
     tasks: int
-    run_s: float  # expected run time of one
-    patience_s: float  # how long the last of them may wait for its start
+    run_s: float  # expected run time of one task
+    patience_s: float  # how long the last of them may wait to start
 
 
 @dataclass
-class Have:
-    """A machine there or on its way: when how many of its CPUs are free next."""
+class MachineCapacity:
+    """A machine that is up or booting: in how many seconds how many of its CPUs become free."""
 
     pool: Pool
-    free_in: list[tuple[float, int]]
+    free_cpus: list[tuple[float, int]]
 
 
-class _Lanes:
-    """CPUs by pool and by the time at which they come free, in steps of a moment.
+class _CpuTimelines:
+    """CPUs by pool and by the time step at which they become free.
 
-    Counted, not listed: a plan for thousands of tasks must not take a step each.
+    CPUs are counted per time step, not listed one by one, so that a plan for thousands of tasks
+    doesn't need an operation for each.
     """
 
-    def __init__(self, have: Iterable[Have]) -> None:
+    def __init__(self, capacities: Iterable[MachineCapacity]) -> None:
         counts: dict[tuple[Pool, float], int] = {}
-        for machine in have:
-            for free, cpus in machine.free_in:
-                key = machine.pool, step(free)
+        for machine in capacities:
+            for free, cpus in machine.free_cpus:
+                key = machine.pool, round_up_to_step(free)
                 counts[key] = counts.get(key, 0) + cpus
         self.pools: dict[Pool, list[tuple[float, int]]] = {}
         for (pool, free), cpus in counts.items():
             self.add(pool, free, cpus)
 
     def add(self, pool: Pool, free: float, cpus: int) -> None:
+        """Adds CPUs of a pool that become free in `free` seconds."""
         if cpus > 0:
             heapq.heappush(self.pools.setdefault(pool, []), (free, cpus))
 
-    def take(self, usable: list[Pool], cpus: int) -> list[tuple[Pool, float, int]]:
-        """The first CPUs to come free in these pools: so many, or all there are."""
+    def take_earliest(self, usable: list[Pool], cpus: int) -> list[tuple[Pool, float, int]]:
+        """Removes and returns the first `cpus` CPUs to become free in these pools, or all."""
         out: list[tuple[Pool, float, int]] = []
         while cpus > 0:
             heads = [(self.pools[p][0][0], p) for p in usable if self.pools.get(p)]
@@ -67,30 +69,31 @@
         return out
 
     def delay(self, usable: list[Pool], cpus: int, run_s: float) -> None:
-        """Lay so many one-CPU runs on these pools, all their CPUs alike."""
+        """Delays all CPUs of these pools equally by `cpus` one-CPU runs spread over them."""
         total = sum(count for pool in usable for _, count in self.pools.get(pool, ()))
         more = cpus / total * run_s if total else 0.0
         for pool in usable:
             self.pools[pool] = [(free + more, count) for free, count in self.pools.get(pool, ())]
 
-    def first(self, usable: list[Pool]) -> int:
-        """How many CPUs come free at the same time as the first one."""
+    def earliest_cpus(self, usable: list[Pool]) -> int:
+        """Returns how many CPUs become free at the earliest time in one of these pools."""
         heads = [(*self.pools[p][0], p) for p in usable if self.pools.get(p)]
         return min(heads)[1] if heads else 0
 
 
-def price(flavor: Flavor, standby: bool) -> float:
-    """What an hour of use costs, with the boot time that is charged before it."""
+def effective_hourly_price(flavor: Flavor, standby: bool) -> float:
+    """Price of an hour of use, including its share of the boot time, which is charged too."""
     hourly = flavor.spotPrice if standby else flavor.hourly
-    return hourly * (1 + flavor.bootS / constants.STAY_S)
+    return hourly * (1 + flavor.bootS / constants.EXPECTED_RENTAL_DURATION_S)
 
 
-def _offer(
-    spec: JobSpec, tasks: int, start: float, flavors: dict[str, Flavor], shut: set[Pool]
+def _cheapest_offer(
+    spec: JobSpec, tasks: int, start_s: float, flavors: dict[str, Flavor], closed: set[Pool]
 ) -> tuple[Pool, int] | None:
-    """The pool with the cheapest useful room for so many tasks, and tasks per machine.
+    """Returns the pool with the cheapest useful capacity for the tasks, and tasks per machine.
 
-    `start` is when the first of them could start without it.
+    `start_s` is when the first of them could start without a new machine. Returns None if no
+    open pool is suitable at an acceptable price.
     """
     offers = []
     cheapest = float("inf")
@@ -103,65 +106,75 @@
                 pool = (flavor.sku, site, standby)
                 if not may_use_machine(spec, *pool):
                     continue
-                full = price(flavor, standby) / count
+                full = effective_hourly_price(flavor, standby) / count
                 cheapest = min(cheapest, full)
-                if pool not in shut:
-                    # Useful room is what can be filled now, not all of a big machine.
-                    offers.append((price(flavor, standby) / min(count, tasks), full, pool, count))
-    # Dear pools are for work that would else wait for very long, or for ever.
-    ratio = float("inf") if _dear(start) else constants.PRICE_RATIO_MAX
+                if pool not in closed:
+                    # Only capacity that can be filled now is useful, not all of a big machine.
+                    offers.append(
+                        (
+                            effective_hourly_price(flavor, standby) / min(count, tasks),
+                            full,
+                            pool,
+                            count,
+                        )
+                    )
+    # Expensive pools are for work that would otherwise wait very long or for ever.
+    ratio = float("inf") if _allows_expensive_pools(start_s) else constants.MAX_PRICE_RATIO
     for _, full, pool, count in sorted(offers):
         if full <= cheapest * ratio:
             return pool, count
     return None
 
 
-def _dear(start: float) -> bool:
-    """Whether work that would start then may use dear pools."""
-    return start > constants.DEAR_WAIT_S
+def _allows_expensive_pools(start_s: float) -> bool:
+    """Whether work that would otherwise start in `start_s` seconds may use expensive pools."""
+    return start_s > constants.EXPENSIVE_POOL_WAIT_S
 
 
 class RentalPlan:
-    """One plan in the making: what is laid where so far, and what is to be rented."""
+    """A rental plan under construction: tasks placed so far and machines to rent by pool."""
 
     def __init__(
         self,
-        have: Iterable[Have],
+        capacities: Iterable[MachineCapacity],
         flavors: dict[str, Flavor],
         blocked: Iterable[Pool],
-        boots: Boots,
+        boots: BootTimes,
         report: PlanReport,
         headroom: Mapping[str, Headroom],
     ) -> None:
         self.rented: dict[Pool, int] = {}
-        self._machines = list(have)
-        self._lanes = _Lanes(self._machines)
+        self._machines = list(capacities)
+        self._timelines = _CpuTimelines(self._machines)
         self._flavors = flavors
-        self._shut = set(blocked)
+        self._closed_pools = set(blocked)
         self._boots = boots
         self._report = report
         self._headroom = headroom
-        # What a team may start only after a machine that is rented now is up can wait.
-        self._soonest_s = min((flavor.bootS for flavor in flavors.values()), default=0.0)
+        # Tasks that a limit holds back until after a machine rented now has booted can wait.
+        self._min_boot_s = min((flavor.bootS for flavor in flavors.values()), default=0.0)
 
-    def add(self, need: Need) -> None:
-        """Lay the tasks of a need on what there is, and rent where they would wait too long."""
+    def add(self, need: RentalNeed) -> None:
+        """Places the tasks of a need on existing CPUs; rents where they would wait too long."""
         spec = need.spec
-        maxima = self._headroom.get(spec.owner) or Headroom()
-        within_s = max(need.patience_s, self._soonest_s)
-        if maxima.start(spec, self._together(need, need.tasks), within_s) > within_s:
+        headroom = self._headroom.get(spec.owner) or Headroom()
+        within_s = max(need.patience_s, self._min_boot_s)
+        if (
+            headroom.earliest_start(spec, self._min_start_together(need, need.tasks), within_s)
+            > within_s
+        ):
             return
-        usable = self._usable(spec)
+        usable = self._usable_pools(spec)
         if spec.shape == "gang":
             self._rent_for_gang(need, usable)
-        self._lay(need, maxima, within_s, usable)
+        self._place_tasks(need, headroom, within_s, usable)
 
-    def _together(self, need: Need, left: int) -> int:
-        """How many of its tasks start together at least."""
+    def _min_start_together(self, need: RentalNeed, left: int) -> int:
+        """How many of the need's tasks must start together at least."""
         return left if need.spec.shape == "gang" else 1
 
-    def _usable(self, spec: JobSpec) -> list[Pool]:
-        """Pools whose machines may run it; those too small for one task don't help it."""
+    def _usable_pools(self, spec: JobSpec) -> list[Pool]:
+        """Pools whose machines may run the job and are large enough for one of its tasks."""
         flavors = self._flavors
         every = {
             (f.sku, site, spot)
@@ -171,102 +184,125 @@
         }
         return sorted(
             pool
-            for pool in every | set(self._lanes.pools)
+            for pool in every | set(self._timelines.pools)
             if may_use_machine(spec, *pool)
             and pool[0] in flavors
             and tasks_per_machine(spec, flavors[pool[0]]) >= 1
         )
 
     def _boot_s(self, pool: Pool) -> float:
-        return self._boots.expected(pool, self._flavors[pool[0]].bootS)
+        """Expected boot time of a machine of the pool."""
+        return self._boots.expected_boot_s(pool, self._flavors[pool[0]].bootS)
 
     def _rent(self, spec: JobSpec, pool: Pool, cpus: int) -> None:
+        """Adds one machine to the plan; `cpus` of its CPUs are usable by the job."""
         self.rented[pool] = self.rented.get(pool, 0) + 1
-        if self.rented[pool] >= constants.RENT_MAX:
-            self._shut.add(pool)
-        self._lanes.add(pool, self._boot_s(pool), cpus)
-        self._report.of(spec.owner).rented += int(self._flavors[pool[0]].vcpus)
+        if self.rented[pool] >= constants.MAX_RENTED_PER_REQUEST:
+            self._closed_pools.add(pool)
+        self._timelines.add(pool, self._boot_s(pool), cpus)
+        self._report.team_plan(spec.owner).rented += int(self._flavors[pool[0]].vcpus)
 
-    def _rent_for_gang(self, need: Need, usable: list[Pool]) -> None:
-        """All at once: what fits the machines one after the other does not help it."""
+    def _rent_for_gang(self, need: RentalNeed, usable: list[Pool]) -> None:
+        """Rents machines until all the gang's tasks fit at once, as they can't run in turns."""
         spec = need.spec
-        rooms = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
-        missing = need.tasks - sum(tasks_per_machine(spec, room) for room in rooms)
+        machine_flavors = [self._flavors[m.pool[0]] for m in self._machines if m.pool in usable]
+        missing = need.tasks - sum(tasks_per_machine(spec, flavor) for flavor in machine_flavors)
         while missing > 0:
-            offer = _offer(spec, missing, float("inf"), self._flavors, self._shut)
+            offer = _cheapest_offer(spec, missing, float("inf"), self._flavors, self._closed_pools)
             if offer is None:
                 return
-            self._rent(spec, offer[0], offer[1] * _width(spec))
+            self._rent(spec, offer[0], offer[1] * _cpus_per_task(spec))
             missing -= offer[1]
 
-    def _lay(self, need: Need, maxima: Headroom, within_s: float, usable: list[Pool]) -> None:
-        spec, left, width, lanes = need.spec, need.tasks, _width(need.spec), self._lanes
-        hopeless: set[bool] = set()  # whether dear pools were asked, too, and none would do
+    def _place_tasks(
+        self, need: RentalNeed, headroom: Headroom, within_s: float, usable: list[Pool]
+    ) -> None:
+        """Places a need's tasks in the order of their start and rents where that pays off."""
+        spec, left, task_cpus, timelines = (
+            need.spec,
+            need.tasks,
+            _cpus_per_task(need.spec),
+            self._timelines,
+        )
+        # Each entry: whether expensive pools were included in a search that found no offer.
+        searched_without_offer: set[bool] = set()
         while left > 0:
-            may_start = maxima.start(spec, self._together(need, left), within_s)
+            may_start = headroom.earliest_start(
+                spec, self._min_start_together(need, left), within_s
+            )
             if may_start > within_s:
-                return  # what is left may not start in time, whatever is rented
-            if True in hopeless:
-                # Nothing can be rented for what is left, however late: it only keeps
-                # the others waiting. A huge job must not cost a step each wave.
-                left = maxima.count(spec, left, within_s)
-                maxima.take(spec, left)
-                lanes.delay(usable, left * width, need.run_s)
-                self._report.laid(spec.owner, left * spec.vcpus, float("inf"), need.patience_s)
+                return  # the limits let nothing more start in time, whatever is rented
+            if True in searched_without_offer:
+                # Nothing can be rented for the remaining tasks, however late they start: they
+                # only delay others. A huge job must not need a step for each wave of tasks.
+                left = headroom.startable_tasks(spec, left, within_s)
+                headroom.consume(spec, left)
+                timelines.delay(usable, left * task_cpus, need.run_s)
+                self._report.add_placed(
+                    spec.owner, left * spec.vcpus, float("inf"), need.patience_s
+                )
                 return
-            # Tasks that start at the same moment are laid at once.
-            at_once = min(maxima.count(spec, left, may_start), lanes.first(usable) // width)
-            tasks = max(at_once, self._together(need, left))
-            taken = lanes.take(usable, tasks * width)
-            full = sum(cpus for _, _, cpus in taken) == tasks * width
+            # Tasks that start at the same time are placed in one step.
+            at_once = min(
+                headroom.startable_tasks(spec, left, may_start),
+                timelines.earliest_cpus(usable) // task_cpus,
+            )
+            tasks = max(at_once, self._min_start_together(need, left))
+            taken = timelines.take_earliest(usable, tasks * task_cpus)
+            full = sum(cpus for _, _, cpus in taken) == tasks * task_cpus
             start = max(free for _, free, _ in taken) if full else float("inf")
             offer = None
-            if start > max(need.patience_s, may_start) and _dear(start) not in hopeless:
-                offer = _offer(spec, left, start, self._flavors, self._shut)
+            if (
+                start > max(need.patience_s, may_start)
+                and _allows_expensive_pools(start) not in searched_without_offer
+            ):
+                offer = _cheapest_offer(spec, left, start, self._flavors, self._closed_pools)
                 if offer is None:
-                    hopeless.add(_dear(start))  # pools only close while a plan is made
+                    # Pools only close while a plan is being made, so the search isn't repeated.
+                    searched_without_offer.add(_allows_expensive_pools(start))
                 if offer is not None and self._boot_s(offer[0]) >= start:
                     offer = None
             if offer is None and start < float("inf"):
                 start = max(start, may_start)
                 for pool, _, cpus in taken:
-                    lanes.add(pool, start + need.run_s, cpus)
-                maxima.take(spec, tasks)
-                maxima.give(spec, tasks, start + need.run_s)
+                    timelines.add(pool, start + need.run_s, cpus)
+                headroom.consume(spec, tasks)
+                headroom.add_release(spec, tasks, start + need.run_s)
                 left -= tasks
-                self._report.laid(spec.owner, tasks * spec.vcpus, start, need.patience_s)
+                self._report.add_placed(spec.owner, tasks * spec.vcpus, start, need.patience_s)
                 continue
             for pool, free, cpus in taken:
-                lanes.add(pool, free, cpus)
+                timelines.add(pool, free, cpus)
             if offer is None:
                 return
-            self._rent(spec, offer[0], offer[1] * width)
+            self._rent(spec, offer[0], offer[1] * task_cpus)
 
 
-def _width(spec: JobSpec) -> int:
-    """Whole CPUs that one task takes in a plan."""
+def _cpus_per_task(spec: JobSpec) -> int:
+    """Whole CPUs that one task uses in a plan."""
     return max(1, math.ceil(spec.vcpus - 1e-9))
 
 
-def plan_rent(
-    needs: Iterable[Need],
-    have: Iterable[Have],
+def plan_rentals(
+    needs: Iterable[RentalNeed],
+    capacities: Iterable[MachineCapacity],
     flavors: dict[str, Flavor],
     blocked: Iterable[Pool],
-    boots: Boots | None = None,
+    boots: BootTimes | None = None,
     report: PlanReport | None = None,
     headroom: Mapping[str, Headroom] | None = None,
 ) -> dict[Pool, int]:
-    """How many machines to rent from which pool.
-
-    Waiting tasks are laid on the CPUs there are, in the order in which they
-    would start; where a task would wait longer than its job's patience, and
-    longer than a new machine takes to boot, a machine is added. A team's tasks
-    count from when its maxima let them start (`headroom`, by team), as far as that
-    is in time for their patience, or for a machine that is rented now.
+    """Returns how many machines to rent from each pool.
+
+    Waiting tasks are placed on the existing CPUs in the order in which they would
+    start. Where a task would wait longer than its job's patience, and longer than a
+    new machine takes to boot, a machine is added. A team's tasks count from the time
+    at which its limits let them start (`headroom`, by team), if that is within their
+    patience or within the boot time of a machine rented now. Pools in `blocked` are
+    not rented from.
     """
     plan = RentalPlan(
-        have, flavors, blocked, boots or Boots(), report or PlanReport(), headroom or {}
+        capacities, flavors, blocked, boots or BootTimes(), report or PlanReport(), headroom or {}
     )
     for need in needs:
         plan.add(need)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -177,7 +177,7 @@
     assert leader is not None and leader.job_api.term is not None
     world.lose(kind, times)
     for number in range(2, 5):
-        leader.job_api.term.renter.types.mark_changed()  # a persisted value
+        leader.job_api.term.renter.flavor_record.mark_changed()  # a persisted value
         world.spawn(world.user(_short(number), None))
         world.spawn(world.user(_short(number + 3, tasks=3, expectedS=300.0), 8.0))
         await asyncio.sleep(2.0)
@@ -280,8 +280,8 @@
     kind: str, bug: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Checkpoints, removals and batch splits must be recognised as own commits too."""
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT", 1)
-    monkeypatch.setattr(constants, "SEGMENTS_KEPT_B", 0)
+    monkeypatch.setattr(constants, "MIN_LOG_SEGMENTS", 1)
+    monkeypatch.setattr(constants, "MIN_LOG_BYTES", 0)
     durations_s: list[float] = []
     _measure_commits(monkeypatch, durations_s)
     if bug:
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -312,7 +312,7 @@
 ) -> None:
     """Spot machines are left only in the other zone, so on-demand ones must be rented."""
     if bug:
-        monkeypatch.setattr(WaitingWork, "_bound", lambda self, job: job.spec)
+        monkeypatch.setattr(WaitingWork, "_with_bound_zone", lambda self, job: job.spec)
 
     async def story(world: World) -> None:
         spec = _long_job(1, 8) | {"oneZone": True, "expectedS": 300.0, "shape": shape}
@@ -413,7 +413,7 @@
 def test_a_job_returns_to_the_only_machine_that_it_failed_on(bug: bool, monkeypatch: Patch) -> None:
     """Another job keeps the machine busy, so it is not returned; it has room, so none is rented."""
     if bug:
-        monkeypatch.setattr(constants, "SHUN_S", 1e9)
+        monkeypatch.setattr(constants, "FAILED_MACHINE_AVOIDANCE_S", 1e9)
 
     async def story(world: World) -> None:
         world.spawn(world.user(_long_job(1, 2) | {"expectedS": 400.0}, None))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves: the planner against brute force and the optimum, the executor against crashes."""
+"""Moves: the planner against brute force and the integer program, the executor under faults."""
 
 import itertools
 import random
@@ -11,8 +11,16 @@
 from chalkgrade.experiments import moves as experiment
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.moves import part
-from chalkgrade.moves.optimum import optimum
-from chalkgrade.moves.plan import Place, Problem, Resident, after, arrival, may_go, plan
+from chalkgrade.moves.integer_program import optimal_move_cost
+from chalkgrade.moves.planner import (
+    MachineState,
+    MovableTask,
+    PlacementProblem,
+    apply_plan,
+    find_plan,
+    image_fetch_cost,
+    is_target_allowed,
+)
 from chalkgrade.moves.settings import parse_moves
 from chalkgrade.region.rules import Broken
 from chalkgrade.settings import SettingsError
@@ -21,8 +29,8 @@
 POOLS = (("big", "a", True), ("small", "a", True))
 
 
-def _problem(rng: random.Random) -> Problem:
-    """A few machines, so that all ways can be tried."""
+def _problem(rng: random.Random) -> PlacementProblem:
+    """Returns a random problem of so few machines that every plan can be tried."""
     places = []
     for number in range(rng.randrange(2, 5)):
         pool = POOLS[number > 0]
@@ -39,15 +47,15 @@
                     frozenset(rng.sample(POOLS, rng.choice([1, 2]))),
                 )
                 loss, image = rng.uniform(1.0, 9.0), f"i{rng.randrange(2)}"
-                residents.append(Resident(name, 1, room, loss, image, 1.0, allowed))
+                residents.append(MovableTask(name, 1, room, loss, image, 1.0, allowed))
         images = frozenset({"i0"} if rng.random() < 0.5 else ())
-        places.append(Place(f"m{number}", pool, total, free, images, 0.5, tuple(residents)))
+        places.append(MachineState(f"m{number}", pool, total, free, images, 0.5, tuple(residents)))
     others = ((4.0, 0.0, 4.0),) if rng.random() < 0.3 else ()
-    return Problem((6.0, 0.0, 10.0), frozenset(POOLS), tuple(places), others)
+    return PlacementProblem((6.0, 0.0, 10.0), frozenset(POOLS), tuple(places), others)
 
 
-def _brute(problem: Problem) -> float | None:
-    """The least cost by trying every set of residents on every way to place them."""
+def _brute(problem: PlacementProblem) -> float | None:
+    """Returns the least cost over every set of moved tasks and every choice of targets."""
     best: float | None = None
     for host in problem.places:
         if not fits(problem.room, host.total):
@@ -60,27 +68,31 @@
                 if target is None:
                     continue
                 left = free[target.name]
-                if not may_go(resident, target, left, problem.others):
+                if not is_target_allowed(resident, target, left, problem.others):
                     good = False
                     break
                 free[target.name] = minus(left, resident.room)
                 freed = plus(freed, resident.room)
-                cost += resident.loss + arrival(resident, target)
+                cost += resident.loss + image_fetch_cost(resident, target)
             if good and fits(problem.room, freed) and (best is None or cost < best):
                 best = cost
     return best
 
 
 def test_the_planner_is_near_the_best_of_all_ways_and_the_program_is_the_best() -> None:
-    """Never better than brute force (it would be wrong), mostly as good; else no plan."""
+    """Guards against invalid or needlessly expensive plans.
+
+    A plan cheaper than brute force would be invalid. 95 percent of the plans must cost at most 5
+    percent more than the optimum, and the integer program must find the optimum itself.
+    """
     rng, equal, plans = random.Random(2), 0, 0
     for _ in range(400):
         problem = _problem(rng)
         if any(fits(problem.room, place.free) for place in problem.places):
             continue
-        best, found = _brute(problem), plan(problem)
+        best, found = _brute(problem), find_plan(problem)
         if not problem.others:
-            least = optimum(problem)
+            least = optimal_move_cost(problem)
             assert (least is None) == (best is None)
             assert best is None or least == pytest.approx(best, abs=1e-6)
         if best is None:
@@ -91,7 +103,7 @@
             continue
         assert found.cost >= best - 1e-6
         equal += found.cost <= best * 1.05 + 1e-6
-        done = after(problem, found)
+        done = apply_plan(problem, found)
         assert all(min(place.free) >= -1e-9 for place in done.places)
         host = next(place for place in problem.places if place.name == found.host)
         freed = host.free
@@ -104,14 +116,14 @@
 @settings(max_examples=25, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(10, 120), st.integers(0, 10_000), st.integers(1, 400))
 def test_a_plan_is_bounded_and_valid_at_any_size(machines: int, seed: int, steps: int) -> None:
-    """However few steps it has, what it says can be carried out, or it says nothing."""
+    """Guards against invalid plans when the search ends early for lack of steps."""
     problem = experiment.state(machines, seed)
-    found = plan(problem, steps)
+    found = find_plan(problem, steps)
     if found is None:
         return
     assert len({move.resident.task for move in found.moves}) == len(found.moves)
     assert all(move.source == found.host != move.target for move in found.moves)
-    assert all(min(place.free) >= -1e-9 for place in after(problem, found).places)
+    assert all(min(place.free) >= -1e-9 for place in apply_plan(problem, found).places)
 
 
 SEEDS = range(3)
@@ -119,7 +131,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_moved_work_ends_once_with_a_fault_within_the_plan(seed: int) -> None:
-    """Crashes, cuts, silent leaders, lost machines, aborts: nothing is lost or done twice."""
+    """Guards against lost or repeated work if a fault comes while a plan is carried out.
+
+    Faults are crashes, cut links, silent leaders, lost machines and aborts.
+    """
     world = experiment.play(seed, on=True, faults=True, large=1)
     assert all(job["over"] for job in world.jobs.values())
     assert world.twice == 0
@@ -129,12 +144,16 @@
 
 
 def test_a_large_job_waits_less_and_only_movable_work_is_moved() -> None:
+    """Guards against plans that bring nothing, and against moves of tasks that must not move.
+
+    With moves the large job must wait less than half as long as on the same day without.
+    """
     moved: dict[str, str] = {}
     plain = part.Moves._adopt
 
-    def seen(self: part.Moves, job: Any, found: Any, *times: float) -> None:
+    def checked(self: part.Moves, job: Any, found: Any, *times: float) -> None:
         for move in found.moves:
-            spec = self.book.jobs[move.resident.task.rpartition("/")[0]].spec
+            spec = self.registry.jobs[move.resident.task.rpartition("/")[0]].spec
             moved[spec.nameId] = spec.shape
             assert spec.shape == "service" or (
                 spec.savepointS > 0 and spec.urgency_rank < job.spec.urgency_rank
@@ -142,7 +161,7 @@
         plain(self, job, found, *times)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(part.Moves, "_adopt", seen)
+        patch.setattr(part.Moves, "_adopt", checked)
         on = experiment.play(9, on=True, faults=False, large=1)
     off = experiment.play(9, on=False, faults=False, large=1)
     first = sorted(off.waits)[0]
@@ -150,23 +169,27 @@
     assert on.waits[first] < off.waits[first] / 2
 
 
-def test_starting_at_the_target_before_the_source_is_surely_empty_is_seen(
+def test_starting_at_the_target_before_the_source_is_surely_empty_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The executor trusts the proofs of absence: without them tasks run twice."""
+    """Shows that the rules of the region detect a task that runs twice.
+
+    The changed executor starts a task at its target before it is proven absent at its source.
+    """
     plain = part.Moves._advance
 
-    def hasty(self: part.Moves) -> None:
+    def early(self: part.Moves) -> None:
         plain(self)
-        for move in self._all():
-            attempt = self._at_source(move)
+        for move in self._open_moves():
+            attempt = self._attempt_at_source(move)
             if attempt is not None and attempt.kill_requested_at is not None:
                 self.fleet.machines[move.source].detach(attempt)
                 attempt.job.finish(attempt, False)
                 self.on_ended(None, attempt, "")
 
-    monkeypatch.setattr(part.Moves, "_advance", hasty)
-    monkeypatch.setattr(Machine, "unknown_tasks", lambda self: [])  # the second net under it
+    monkeypatch.setattr(part.Moves, "_advance", early)
+    # Disables the second safeguard, the list of reported tasks without an attempt.
+    monkeypatch.setattr(Machine, "unknown_tasks", lambda self: [])
     for seed in range(8):
         try:
             experiment.play(seed, on=True, faults=False, large=1)
@@ -177,6 +200,7 @@
 
 
 def test_settings_of_moves() -> None:
+    """Guards against wrong settings that are accepted or rejected without a reason."""
     good = b"<moves><margin>2</margin><optout team='red'/></moves>"
     assert parse_moves(good, {"red"}).margin == 2.0
     for bad, said in (
