--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -138,7 +138,7 @@
     out.add("peer_messages", world.peer_messages)
     out.add("seconds", world.now - 1000.0)
     for name in ("suspect", "refuted", "failed", "refutes"):
-        out.add(f"seen {name}", world.seen.get(name, 0))
+        out.add(f"seen {name}", world.health_changes.get(name, 0))
     out.add("false_verdicts", world.false_verdicts)
 
 
@@ -177,7 +177,7 @@
                     other.handover.direct_report_at = (
                         other.clock.now()
                     )  # the proof that is asked for
-            giving = world.spawn(world.within(member, node.handover.transfer_lead(WORKERS)))
+            giving = world.spawn(world.run_as(member, node.handover.transfer_lead(WORKERS)))
             acted, vacant = world.now, 0.0
             while not giving.done() or not _acting(world):
                 await asyncio.sleep(0.001)
--- a/src/chalkgrade/experiments/growth.py
+++ b/src/chalkgrade/experiments/growth.py
@@ -21,7 +21,7 @@
     took = time.process_time() - began
     failover.count(world, broken, out)
     told = failover.figures(out)
-    calls = sum(sum(node.ledger.response_counts.values()) for node in world.last_nodes)
+    calls = sum(sum(node.ledger.response_counts.values()) for node in world.stopped_nodes)
     seconds = max(1.0, world.now - 1000.0)
     return {
         "broken": told["broken"],
--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -17,7 +17,7 @@
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.licences import LicenceServer, Tool
-from chalkgrade.region.loop import HandClock, VirtualLoop
+from chalkgrade.region.loop import ManualClock, VirtualLoop
 from chalkgrade.region.world import World, close
 from chalkgrade.settings import (
     Cluster,
@@ -183,7 +183,7 @@
     500 machines of 16 CPUs, 20,000 one-CPU tasks in 2,000 jobs of two teams, 200 pools
     of 25 seats; between rounds two in a hundred tasks end.
     """
-    rng, clock = random.Random(seed), HandClock()
+    rng, clock = random.Random(seed), ManualClock()
     needs = [LicenceNeed(f"p{n}", f"class{n}") for n in range(POOLS)]
     licences = LicenceSettings([LicencePool(f"p{n}", POOL_SEATS) for n in range(POOLS)], needs)
     teams = [Team("red"), Team("blue")]
--- a/src/chalkgrade/experiments/met.py
+++ b/src/chalkgrade/experiments/met.py
@@ -117,7 +117,7 @@
         hangs = self.loop.frozen.get(name, 0.0) > self.now
         mute = self.muted.get(name, 0.0) > self.now
         cut = self.cuts and all(
-            self._cut(name, member) or self._cut(member, name) for member in self.members
+            self._find_cut(name, member) or self._find_cut(member, name) for member in self.members
         )
         return bool(hangs or mute or cut)
 
@@ -143,7 +143,7 @@
         }
         return "high" in waiting and bool(waiting - {"high"})
 
-    async def fault(self, fault: Fault) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
         met: list[Any] = self.present()
         if fault.kind in MACHINES:
             met = []
@@ -156,7 +156,7 @@
 
             self.machines = chosen  # type: ignore[method-assign]
             try:
-                await super().fault(fault)
+                await super().apply_fault(fault)
             finally:
                 self.machines = plain  # type: ignore[method-assign]
         elif fault.kind == "zone":
@@ -164,7 +164,7 @@
         bound = sum(task.spec["oneZone"] or task.spec["site"] is not None for _, task in met)
         self.struck.append(Struck(fault.kind, self.at, len(met), bound, fault.seconds))
         if fault.kind not in MACHINES:
-            await super().fault(fault)
+            await super().apply_fault(fault)
 
     def heard(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
         before = self.jobs[name]["aborted"]
@@ -190,15 +190,15 @@
             self.left.setdefault(task.rpartition("/")[0], []).append(self.at)
         super().finish(task)
 
-    async def _copy(self, source: str, method: str, path: str, body: Any, late: float) -> None:
-        await super()._copy(source, method, path, body, late)
+    async def _resend(self, source: str, method: str, path: str, body: Any, late: float) -> None:
+        await super()._resend(source, method, path, body, late)
         self.copied.append(self.at)
 
     async def give(self, source: str, member: str, body: Any) -> None:
         await super().give(source, member, body)
         self.given_at.append(self.at)
 
-    def held_back(self, source: str, target: str, sent: float) -> None:
+    def on_delayed_report(self, source: str, target: str, sent: float) -> None:
         self.held_reports.append((sent - BEGAN, self.at, target in self.leaders()))
 
     # -- what was seen ---------------------------------------------------------------
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -19,7 +19,7 @@
 from chalkgrade.moves.settings import MoveSettings
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
-from chalkgrade.region.loop import HandClock, VirtualLoop
+from chalkgrade.region.loop import ManualClock, VirtualLoop
 from chalkgrade.region.world import World, close
 from chalkgrade.renting.boots import Boots
 from chalkgrade.settings import Team
@@ -114,12 +114,12 @@
 
     # First there is only the large machine; it fills with what runs for long. Then small
     # ones are to be had, and short work leaves gaps on them.
-    later = {pool: room for pool, room in world.cloud.rooms.items() if pool[0] == "small"}
-    world.cloud.rooms.update(dict.fromkeys(later, 0))
+    later = {pool: room for pool, room in world.cloud.free_machines.items() if pool[0] == "small"}
+    world.cloud.free_machines.update(dict.fromkeys(later, 0))
     for number in range(1, SMALL + 1):
         at = rng.uniform(0.0, 3.0) if number <= BEFORE else rng.uniform(30.0, 35.0)
         world.spawn(small(world.small(number), at))
-    world.loop.call_later(28.0, world.cloud.rooms.update, later)
+    world.loop.call_later(28.0, world.cloud.free_machines.update, later)
     for turn in range(world.count):
         number += 1
         abort = rng.uniform(6.0, 14.0) if faults and rng.random() < 0.2 else None
@@ -277,7 +277,7 @@
     16-CPU machines, each with 14 tasks of one CPU that save, the rest of the tasks and the
     large jobs waiting; looks until as many plans are under way as there may be.
     """
-    clock, log = HandClock(), OpLog(16 * 1024)
+    clock, log = ManualClock(), OpLog(16 * 1024)
     settings = plain_settings([Team("red")])
     flavors = {"big": Flavor("big", 16.0, 64.0, ["a"])}
     fleet, queues = Fleet(clock, 1, 12.0, 3.0), Queues(settings, clock, flavors)
--- a/src/chalkgrade/experiments/pipelines.py
+++ b/src/chalkgrade/experiments/pipelines.py
@@ -17,7 +17,7 @@
 from chalkgrade.pipelines.slack import inherit
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.settings import Team
 from chalkgrade.sharing.queues import Queues
 from chalkgrade.sharing.rounds import SchedulingRound
@@ -82,7 +82,7 @@
 
 def ours(case: Case) -> tuple[int, int]:
     """The program's own rounds, one a step, without stops."""
-    clock, log = HandClock(), OpLog(16 * 1024)
+    clock, log = ManualClock(), OpLog(16 * 1024)
     teams = [Team("desk"), Team("other")]
     settings = plain_settings(teams)
     flavors = {"quad": Flavor("quad", float(CPUS), 64.0, ["a"])}
@@ -130,7 +130,7 @@
 
 
 def _submit(
-    case: Case, number: int, clock: HandClock, log: OpLog, jobs: dict[str, Job], graph: Graph,
+    case: Case, number: int, clock: ManualClock, log: OpLog, jobs: dict[str, Job], graph: Graph,
     queues: Queues,
 ) -> None:  # fmt: skip
     stage = case.stages[number]
--- a/src/chalkgrade/experiments/troubles.py
+++ b/src/chalkgrade/experiments/troubles.py
@@ -116,14 +116,14 @@
                     self.found.append(self.now - begun)
                     return
 
-    async def _copy(self, source: str, method: str, path: str, body: Any, late: float) -> None:
+    async def _resend(self, source: str, method: str, path: str, body: Any, late: float) -> None:
         before = {
             member: node.term.fleet.machines.get(source)
             for member, node in self.nodes.items()
             if node is not None and node.term is not None
         }
         keys = {member: (m.tenure, m.seq) for member, m in before.items() if m is not None}
-        await super()._copy(source, method, path, body, late)
+        await super()._resend(source, method, path, body, late)
         # One that a leader took for news although it knew a newer one.
         for member, key in keys.items():
             machine = before[member]
@@ -143,7 +143,7 @@
                 if since is not None:
                     self.gaps.append(self.now - since)
                 since = None
-            elif since is None or self.store.down(""):
+            elif since is None or self.store.is_down(""):
                 since = self.now
 
 
--- a/src/chalkgrade/region/cloud.py
+++ b/src/chalkgrade/region/cloud.py
@@ -8,7 +8,7 @@
 from chalkgrade.region.rules import History
 from chalkgrade.region.worker import WORKER_PORT, Worker
 
-QUICK_S = (0.3, 2.0)  # s; boots of machines that are up at once
+FAST_BOOT_S = (0.3, 2.0)  # s; boots of machines that are up at once
 
 
 class Boot(NamedTuple):
@@ -25,16 +25,16 @@
     def __init__(self, world: History) -> None:
         self.world = world
         self.number = 0
-        self.rooms = dict(world.ROOMS)
-        self.hires: dict[str, list[str]] = {}
+        self.free_machines = dict(world.ROOMS)
+        self.rental_machines: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
         self.history: list[tuple[float, list[dict[str, Any]]]] = []
         self.workers: dict[str, Worker] = {}  # of machines that are up
         self.rented: list[tuple[float, list[str]]] = []  # which machines were, and when
         self.spent = 0.0  # money, for machines that are gone
         self.boots: list[Boot] = []
-        self.quick_until = 0.0  # machines rented until then are up within a second or two
-        self.boot_trouble = (0.0, 1.0, 0.0)  # share that never comes, times as slow, until when
+        self.fast_boots_until = 0.0  # machines rented until then are up within a second or two
+        self.boot_faults = (0.0, 1.0, 0.0)  # share that never comes, times as slow, until when
 
     def flavors(self) -> dict[str, Any]:
         return {"hosttypes": [*self.world.FLAVORS]}
@@ -62,29 +62,29 @@
         }
 
     def _rent(self, data: dict[str, Any]) -> tuple[int, Any]:
-        if data["hire"] in self.hires:
-            return 200, {"hosts": self.hires[data["hire"]]}
+        if data["hire"] in self.rental_machines:
+            return 200, {"hosts": self.rental_machines[data["hire"]]}
         pool = (data["hosttype"], data["site"], data["standby"])
-        count = min(self.rooms.get(pool, 0), data["howMany"])
+        count = min(self.free_machines.get(pool, 0), data["howMany"])
         if not count:
             return 503, {"error": "no capacity"}
-        self.rooms[pool] -= count
+        self.free_machines[pool] -= count
         names: list[str] = []
         self.rented.append((self.world.now, names))
         for _ in range(count):
-            name = self._make(pool)
+            name = self._create_machine(pool)
             names.append(name)
-            fail, _, until = self.boot_trouble
+            fail, _, until = self.boot_faults
             if self.world.rng.random() > (fail if self.world.now < until else 0.04):
-                quick = self.world.now < self.quick_until
+                quick = self.world.now < self.fast_boots_until
                 self.world.spawn(self._boot(name, self._flavor(pool[0]), quick))
-        self.hires[data["hire"]] = names
+        self.rental_machines[data["hire"]] = names
         return 200, {"hosts": names}
 
     def _flavor(self, sku: str) -> dict[str, Any]:
         return next(flavor for flavor in self.world.FLAVORS if flavor["sku"] == sku)
 
-    def _make(self, pool: tuple[str, str, bool]) -> str:
+    def _create_machine(self, pool: tuple[str, str, bool]) -> str:
         """A machine that has yet to boot."""
         self.number += 1
         name = f"host-{self.number:06d}"
@@ -99,13 +99,13 @@
         }
         return name
 
-    def there(self, pool: tuple[str, str, bool], count: int) -> None:
+    def add_running(self, pool: tuple[str, str, bool], count: int) -> None:
         """Machines that are up when a day begins."""
         for _ in range(count):
-            self.rooms[pool] -= 1
-            self._up(self._make(pool), self._flavor(pool[0]))
+            self.free_machines[pool] -= 1
+            self._start_worker(self._create_machine(pool), self._flavor(pool[0]))
 
-    def _up(self, name: str, flavor: dict[str, Any]) -> None:
+    def _start_worker(self, name: str, flavor: dict[str, Any]) -> None:
         self.machines[name]["status"] = "running"
         worker = self.workers[name] = Worker(self.world, self.machines[name], flavor)
         self.world.servers[name] = worker.serve
@@ -137,20 +137,20 @@
         return self.spent + sum(self.cost(machine) for machine in self.machines.values())
 
     async def _boot(self, name: str, flavor: dict[str, Any], quick: bool) -> None:
-        _, factor, until = self.boot_trouble
+        _, factor, until = self.boot_faults
         factor = factor if self.world.now < until else 1.0
         usual = flavor["bootS"] * factor * self.world.rng.uniform(0.2, 1.8)
-        await asyncio.sleep(self.world.rng.uniform(*QUICK_S) if quick else usual)
+        await asyncio.sleep(self.world.rng.uniform(*FAST_BOOT_S) if quick else usual)
         if name in self.machines:
             took = self.world.now - self.machines[name]["born"]
             self.boots.append(Boot(self.world.now, name, took))
-            self._up(name, flavor)
+            self._start_worker(name, flavor)
 
     def remove(self, name: str) -> None:
         machine = self.machines.pop(name, None)
         if machine is None:
             return
-        self.rooms[machine["hosttype"], machine["site"], machine["standby"]] += 1
+        self.free_machines[machine["hosttype"], machine["site"], machine["standby"]] += 1
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.die()
--- a/src/chalkgrade/region/day.py
+++ b/src/chalkgrade/region/day.py
@@ -133,9 +133,9 @@
 
 
 # Fields of one kind of faults only.
-OF_ONE = {"hang_s": "cancel_now", "at_once": "late_writes", "for_next": "copies"}
+FIELDS_OF_ONE_KIND = {"hang_s": "cancel_now", "at_once": "late_writes", "for_next": "copies"}
 
-WORDS = ("leader", "others", "all", "machines", "state", "cloud", "users")
+CUT_ENDPOINTS = ("leader", "others", "all", "machines", "state", "cloud", "users")
 
 
 def _check(day: Day) -> None:
@@ -156,7 +156,7 @@
     machines = sum(room.count for room in day.rooms)
     if machines > constants.DAY_MACHINES:
         raise SettingsError(f"rooms: at most {constants.DAY_MACHINES} machines, are {machines}")
-    names = members(day)
+    names = controller_names(day)
     for number, room in enumerate(day.rooms):
         known(f"rooms[{number}].kind", room.kind, {kind.name for kind in day.kinds})
         known(f"rooms[{number}].zone", room.zone, set(day.zones))
@@ -198,7 +198,7 @@
         where = f"faults[{number}]"
         known(f"{where}.who", fault.who, {"leader", "others", "all", *names})
         for word in (*fault.one, *fault.other):
-            known(f"{where}.one", word, {*WORDS, *names})
+            known(f"{where}.one", word, {*CUT_ENDPOINTS, *names})
         if fault.zone or fault.kind == "zone":
             known(f"{where}.zone", fault.zone, set(day.zones))
         if fault.kind == "cut" and not (fault.one and fault.other):
@@ -216,7 +216,7 @@
             raise SettingsError(f"{where}.late: must be two rising times up to 3600")
         if not 0 <= fault.hang_s <= 3600:
             raise SettingsError(f"{where}.hang_s: must be 0 to 3600, is {fault.hang_s:g}")
-        for field, kind in OF_ONE.items():
+        for field, kind in FIELDS_OF_ONE_KIND.items():
             if getattr(fault, field) and fault.kind != kind:
                 raise SettingsError(f"{where}.{field}: only {kind} may have it, not {fault.kind}")
         if fault.times > constants.DAY_FLAPS:
@@ -225,7 +225,7 @@
             )
 
 
-def members(day: Day) -> list[str]:
+def controller_names(day: Day) -> list[str]:
     """The controllers' names."""
     return [f"n-{number}" for number in range(day.controllers)]
 
--- a/src/chalkgrade/region/fleet.py
+++ b/src/chalkgrade/region/fleet.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from chalkgrade.region.day import Day, Fault, Pipe, Work, members
+from chalkgrade.region.day import Day, Fault, Pipe, Work, controller_names
 from chalkgrade.region.loop import VirtualLoop
 from chalkgrade.region.rules import BEGAN, Broken
-from chalkgrade.region.world import World, close, wait
+from chalkgrade.region.world import World, close, wait_for_jobs
 from chalkgrade.state.leadership import LEADER_KEY
 
 
@@ -18,7 +18,7 @@
 
     def __init__(self, loop: VirtualLoop, seed: int, day: Day) -> None:
         self.day = day
-        self.MEMBERS, self.ZONES = tuple(members(day)), tuple(day.zones)
+        self.MEMBERS, self.ZONES = tuple(controller_names(day)), tuple(day.zones)
         workers = day.workers
         self.LEASE_S, self.CANCEL_S = workers.lease_s, workers.cancel_s
         self.REPORT_S = workers.report_s
@@ -46,9 +46,9 @@
         )
         super().__init__(loop, seed)
         self.store.written[LEADER_KEY] = []
-        self.spared = 0  # jobs that pipelines could have had, or have yet to submit
+        self.unsubmitted_jobs = 0  # jobs that pipelines could have had, or have yet to submit
         for room in day.rooms:
-            self.cloud.there((room.kind, room.zone, room.spot), room.up)
+            self.cloud.add_running((room.kind, room.zone, room.spot), room.up)
         # When faults hit whoever led, and the machines that could be reached then.
         self.leader_failed: list[tuple[float, set[str]]] = []
 
@@ -107,7 +107,7 @@
                 out |= set(self.controllers(word, count if word == "others" else 1))
         return out
 
-    async def fault(self, fault: Fault) -> None:
+    async def apply_fault(self, fault: Fault) -> None:
         """One fault, from now on."""
         chosen = self.controllers(fault.who, fault.count)
         hit, led = set[str](), set(self.leaders())
@@ -132,7 +132,7 @@
                 self.loop.freeze(member, self.now + lasts)
         elif fault.kind == "refuse":
             hit = set(chosen)
-            self.store.refused |= {member: self.now + lasts for member in chosen}
+            self.store.unavailable_until |= {member: self.now + lasts for member in chosen}
         elif fault.kind == "outage":
             self.store.outage(lasts)
         elif fault.kind == "slow":
@@ -163,11 +163,11 @@
         elif fault.kind == "copies" and fault.for_next:
             self.spawn(self.keep_for_next(lasts, fault.share))
         elif fault.kind == "copies":
-            self.copies = (self.now + lasts, fault.share, fault.late)
+            self.report_copies = (self.now + lasts, fault.share, fault.late)
         elif fault.kind == "late_writes" and fault.at_once:
-            self.store.unanswered = (self.now + lasts, fault.share)
+            self.store.answer_loss = (self.now + lasts, fault.share)
         elif fault.kind == "late_writes":
-            self.store.late = (self.now + lasts, fault.share, fault.late)
+            self.store.delayed_commits = (self.now + lasts, fault.share, fault.late)
         elif fault.kind == "cancel_now":
             self.cancel_now(fault.count, fault.hang_s)
         elif fault.kind == "cancel_at_end":
@@ -178,7 +178,7 @@
         elif fault.kind == "close_looks":
             self.close_until = self.now + lasts
         elif fault.kind == "quick_boots":
-            self.cloud.quick_until = self.now + lasts
+            self.cloud.fast_boots_until = self.now + lasts
         elif fault.kind == "hang":
             for name in self.machines(fault.zone, fault.count):
                 self.loop.freeze(name, self.now + lasts)
@@ -190,14 +190,14 @@
             hit = led
             self.spawn(self.election(fault.times, fault.every))
         elif fault.kind == "limits":
-            self.store.fall()
+            self.store.lower_limits()
         elif fault.kind == "sick":
             for name in self.machines(fault.zone, fault.count):
                 self.workers[name].sick = True
         if led & hit:
             at = self.now
             await asyncio.sleep(0.01)  # what fails together has failed by then
-            reached = {name for name in self.workers if self._cut(name, "users") is None}
+            reached = {name for name in self.workers if self._find_cut(name, "users") is None}
             self.leader_failed.append((at, reached))
 
     async def pipeline(self, pipe: Pipe, first: int) -> None:
@@ -207,7 +207,7 @@
         made: list[list[str]] = []
         late = rng.random() < pipe.late
         gone = rng.randrange(len(pipe.stages)) if rng.random() < pipe.cancelled else None
-        self.spared += sum(stage.jobs[1] for stage in pipe.stages)
+        self.unsubmitted_jobs += sum(stage.jobs[1] for stage in pipe.stages)
         for at, stage in enumerate(pipe.stages):
             last = at == len(pipe.stages) - 1
             names = [name for need in stage.needs for name in made[need]]
@@ -220,7 +220,7 @@
                 if names:
                     spec["waitsOn"] = names
                 number += 1
-                self.spared -= 1
+                self.unsubmitted_jobs -= 1
                 after = rng.uniform(0.0, 30.0) if gone == at else None
                 made[-1].append(spec["nameId"])
                 self.spawn(self.user(spec, after))
@@ -245,7 +245,7 @@
             await work
 
         for fault in day.faults:
-            self.spawn(later(fault.at, self.fault(fault)))
+            self.spawn(later(fault.at, self.apply_fault(fault)))
         number = 0
         for pipe in day.pipes:
             for _ in range(round(pipe.a_minute * day.seconds / 60)):
@@ -263,7 +263,7 @@
                     after = rng.uniform(*work.cancel_s)
                 self.spawn(later(at, self.user(self.job(number, work), after)))
         end = begin + day.seconds
-        await wait(self, end, end + day.calm_s, lambda: number - self.spared)
+        await wait_for_jobs(self, end, end + day.calm_s, lambda: number - self.unsubmitted_jobs)
 
 
 def percentile(values: list[float], part: float) -> float:
--- a/src/chalkgrade/region/ground.py
+++ b/src/chalkgrade/region/ground.py
@@ -16,12 +16,12 @@
 Server = Callable[[str, str, str, Any], Awaitable[tuple[int, Any] | None]]
 
 
-CONNECT_S = 0.5  # s; until a machine gives up a connection that nobody takes
-HELD_S = 1.0  # s; a report that takes longer was held back
-KEPT_COPIES = 3  # of each machine, for the next leader
+CONNECT_TIMEOUT_S = 0.5  # s; until a machine gives up a connection that nobody takes
+DELAYED_REPORT_S = 1.0  # s; a report that takes longer was held back
+SAVED_REPORTS_PER_MACHINE = 3  # of each machine, for the next leader
 
 
-class Ground:
+class SimulationBase:
     """Time, one random source, the network, and what the settings say."""
 
     LOSS = 0.002  # share of messages that come late
@@ -75,16 +75,16 @@
         self.parts: dict[str, Any] = {}  # settings of optional subsystems, by name
         self.settings = self._settings(self.members[0])
         self.servers: dict[str, Server] = {}
-        self.outside = contextvars.Context()
+        self.network_context = contextvars.Context()
         self.cuts: list[tuple[frozenset[str], frozenset[str], float, bool, bool]] = []
         self.loss = self.LOSS
         # Copies of workers' reports: until when, what share of them, and how late; s.
-        self.copies = (0.0, 0.0, (0.0, 0.0))
+        self.report_copies = (0.0, 0.0, (0.0, 0.0))
         self.muted: dict[str, float] = {}  # machine -> until when no report of it gets through
         # Copies that wait for the next leader, by machine; until when reports are kept so, and
         # what share of them.
-        self.kept: dict[str, list[Any]] = {}
-        self.keeps = (0.0, 0.0)
+        self.saved_reports: dict[str, list[Any]] = {}
+        self.saving_reports = (0.0, 0.0)
         self.failure: BaseException | None = None
         self.background: set[asyncio.Task[Any]] = set()
 
@@ -125,7 +125,7 @@
         # Outside of all controllers: what is on its way goes on when its sender falls silent.
         task: asyncio.Task[Any] = self.loop.create_task(
             work,  # type: ignore[arg-type]
-            context=self.outside if context is None else context,
+            context=self.network_context if context is None else context,
         )
         self.background.add(task)
         task.add_done_callback(self._ended)
@@ -149,7 +149,7 @@
         self.cuts = [row for row in self.cuts if row[2] > self.now]
         self.cuts.append((frozenset(one), frozenset(other), self.now + seconds, hold, one_way))
 
-    def _cut(self, one: str, other: str) -> tuple[float, bool] | None:
+    def _find_cut(self, one: str, other: str) -> tuple[float, bool] | None:
         for left, right, until, hold, one_way in self.cuts:
             if self.now < until and (
                 (one in left and other in right) or (one in right and other in left and not one_way)
@@ -157,10 +157,10 @@
                 return until, hold
         return None
 
-    async def _pass(self, source: str, target: str) -> None:
+    async def _transmit(self, source: str, target: str) -> None:
         """Carry one message; a held one arrives when the cut ends, whoever still waits."""
         while True:
-            cut = self._cut(source, target) if self.cuts else None
+            cut = self._find_cut(source, target) if self.cuts else None
             if cut is None:
                 break
             until, hold = cut
@@ -178,15 +178,15 @@
             await asyncio.sleep(0.001)
             raise NoAnswer("refused")
         if path == "/hello" and self.now < self.muted.get(source, 0.0):
-            await asyncio.sleep(CONNECT_S)
+            await asyncio.sleep(CONNECT_TIMEOUT_S)
             raise NoAnswer("no connection")
         exchange = self.spawn(self._exchange(source, target, method, path, body))
-        until, share, late = self.copies
+        until, share, late = self.report_copies
         if path == "/hello" and self.now < until and self.rng.random() < share:
-            self.spawn(self._copy(source, method, path, body, self.rng.uniform(*late)))
-        until, share = self.keeps
+            self.spawn(self._resend(source, method, path, body, self.rng.uniform(*late)))
+        until, share = self.saving_reports
         if path == "/hello" and self.now < until and self.rng.random() < share:
-            self._keep(source, body)
+            self._save_report(source, body)
         done, _ = await asyncio.wait({exchange}, timeout=timeout)
         if not done:
             raise NoAnswer("timeout")
@@ -196,22 +196,22 @@
             raise NoAnswer("lost")
         return result
 
-    def _keep(self, source: str, body: Any) -> None:
+    def _save_report(self, source: str, body: Any) -> None:
         """Keep a copy of a report for the next leader: some of each machine, early and late."""
-        kept = self.kept.setdefault(source, [])
-        if len(kept) < KEPT_COPIES:
+        kept = self.saved_reports.setdefault(source, [])
+        if len(kept) < SAVED_REPORTS_PER_MACHINE:
             kept.append(body)
         else:
-            kept[self.rng.randrange(KEPT_COPIES)] = body
+            kept[self.rng.randrange(SAVED_REPORTS_PER_MACHINE)] = body
 
-    async def _copy(self, source: str, method: str, path: str, body: Any, late: float) -> None:
+    async def _resend(self, source: str, method: str, path: str, body: Any, late: float) -> None:
         """A report once more, late and wherever; nobody waits for its answer."""
         await asyncio.sleep(late)
         target = self.rng.choice(self.members)
         if self.up(target):
             await self.servers[target](source, method, path, body)
 
-    def held_back(self, source: str, target: str, sent: float) -> None:
+    def on_delayed_report(self, source: str, target: str, sent: float) -> None:
         """A report arrives that was held on its way since then."""
 
     async def _exchange(
@@ -219,13 +219,13 @@
     ) -> tuple[int, Any] | None:
         try:
             sent = self.now
-            await self._pass(source, target)
-            if path == "/hello" and self.now > sent + HELD_S:
-                self.held_back(source, target, sent)
+            await self._transmit(source, target)
+            if path == "/hello" and self.now > sent + DELAYED_REPORT_S:
+                self.on_delayed_report(source, target, sent)
             answer = await self.servers[target](source, method, path, body)
             if answer is None:
                 return None
-            await self._pass(target, source)
+            await self._transmit(target, source)
         except NoAnswer:
             return None
         return answer
--- a/src/chalkgrade/region/loop.py
+++ b/src/chalkgrade/region/loop.py
@@ -6,7 +6,7 @@
 import selectors
 from typing import Any
 
-LEAST_S = 1e-6  # s; the grain of virtual time
+TIME_RESOLUTION_S = 1e-6  # s; the grain of virtual time
 
 
 class _Selector(selectors.BaseSelector):
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self._virtual = _Selector()
         super().__init__(self._virtual)
-        self._clock_resolution = LEAST_S
+        self._clock_resolution = TIME_RESOLUTION_S
         self.frozen: dict[str, float] = {}
 
     def time(self) -> float:
@@ -80,11 +80,11 @@
     ) -> asyncio.TimerHandle:
         # A wait too short for a float to show must move the clock all the same: else who waits
         # once more for what is left of it stands still (found by a day that never ended).
-        when = max(when, self._until(context), self.time() + 2 * LEAST_S)
+        when = max(when, self._until(context), self.time() + 2 * TIME_RESOLUTION_S)
         return super().call_at(when, callback, *args, context=context)
 
 
-class HandClock:
+class ManualClock:
     """A clock that is set by hand, in seconds."""
 
     def __init__(self, at: float = 1000.0) -> None:
--- a/src/chalkgrade/region/rules.py
+++ b/src/chalkgrade/region/rules.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any, Protocol
 
-from chalkgrade.region.ground import Ground
+from chalkgrade.region.ground import SimulationBase
 
 SILENT_S = 75.0  # s; a job of which nothing is told for so long is forgotten, troubles over
 LARGEST_PART = 0.1  # of a class's jobs: those that ask for most CPUs
@@ -36,7 +36,7 @@
     baton: int
 
 
-class History(Ground):
+class History(SimulationBase):
     """Jobs, what became of them, and who is where; breaches raise Broken at once."""
 
     def __init__(self, *args: Any) -> None:
--- a/src/chalkgrade/region/store.py
+++ b/src/chalkgrade/region/store.py
@@ -10,17 +10,17 @@
 
 from chalkgrade.record.commit_conditions import missing_conditions
 from chalkgrade.record.jobs import BATCH_PREFIX
-from chalkgrade.region.ground import Ground
+from chalkgrade.region.ground import SimulationBase
 from chalkgrade.region.rules import Broken
 
-SILENT_S = 30.0  # s; after which nobody waits for an answer any more
-KEPT = 10_000  # changes that can be asked for; from the protocol
+NO_ANSWER_S = 30.0  # s; after which nobody waits for an answer any more
+LOG_ENTRIES_KEPT = 10_000  # changes that can be asked for; from the protocol
 
 
 class Store:
     """The state service."""
 
-    def __init__(self, world: Ground) -> None:
+    def __init__(self, world: SimulationBase) -> None:
         self.world = world
         self.rev = self.compacted = 0
         self.written: dict[str, list[float]] = {}  # when keys that are asked about were written
@@ -32,37 +32,41 @@
         state = world.settings.cluster.state
         self.limits = {"requests": state.rps, "changes": state.write_rps}
         self.value_b, self.txn_ops = state.value_kb * 1024, state.txn_ops
-        self.fallen = False
-        self.malformed: list[float] = []  # when commits beyond the sizes came, after their fall
+        self.limits_lowered = False
+        self.oversized_commits: list[
+            float
+        ] = []  # when commits beyond the sizes came, after their fall
         self.level = dict(self.limits)
         self.level_at = world.now
         self.outage_until = 0.0
-        self.refused: dict[str, float] = {}  # node -> until when it gets 503
+        self.unavailable_until: dict[str, float] = {}  # node -> until when it gets 503
         self.slow = (0.0, 0.0)  # s an answer takes, until when; one in twenty takes 25 times that
         self.changed = asyncio.Event()
         # Transactions that get no answer and are carried out late: until when, what share, s.
-        self.late = (0.0, 0.0, (0.0, 0.0))
+        self.delayed_commits = (0.0, 0.0, (0.0, 0.0))
         # Transactions that are carried out at once and get no answer: until when, what share.
-        self.unanswered = (0.0, 0.0)
+        self.answer_loss = (0.0, 0.0)
         self.answers_lost: dict[str, int] = {}  # of executed ones, by the kind of what they wrote
-        self.checked: Callable[[str], bool] = lambda source: True  # whose conditions are judged
+        self.checks_conditions: Callable[[str], bool] = lambda source: (
+            True
+        )  # whose conditions are judged
         self.late_applied = self.late_refused = 0  # by their conditions
 
-    def down(self, source: str) -> bool:
+    def is_down(self, source: str) -> bool:
         now = self.world.now
-        return now < self.outage_until or now < self.refused.get(source, 0.0)
+        return now < self.outage_until or now < self.unavailable_until.get(source, 0.0)
 
     def outage(self, seconds: float) -> None:
         self.outage_until = self.world.now + seconds
         for number, (ttl, _) in list(self.leases.items()):
             self.leases[number] = (ttl, self.outage_until + ttl)
 
-    def fall(self) -> None:
+    def lower_limits(self) -> None:
         """The limits of `state.next` hold from now on; what is stored stays."""
         state = self.world.settings.cluster.state.least()
         self.limits = {"requests": state.rps, "changes": state.write_rps}
         self.value_b, self.txn_ops = state.value_kb * 1024, state.txn_ops
-        self.fallen = True
+        self.limits_lowered = True
 
     def _spend(self, what: str, amount: int) -> bool:
         """Whether so much is within a limit, which allows bursts of one second's worth."""
@@ -86,9 +90,9 @@
             else:
                 self.keys.pop(op["remove"], None)
                 self.log.append((self.rev, {"remove": op["remove"], "stamp": self.rev}))
-        if len(self.log) > 2 * KEPT:
-            self.compacted = self.log[-KEPT][0] - 1
-            del self.log[:-KEPT]
+        if len(self.log) > 2 * LOG_ENTRIES_KEPT:
+            self.compacted = self.log[-LOG_ENTRIES_KEPT][0] - 1
+            del self.log[:-LOG_ENTRIES_KEPT]
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -105,14 +109,14 @@
         if lost:
             self._apply([{"remove": key} for key in lost])
 
-    def _loses(self) -> bool:
+    def _is_delayed_commit(self) -> bool:
         """Whether a transaction is one of those that get no answer."""
-        until, share, _ = self.late
+        until, share, _ = self.delayed_commits
         return self.world.now < until and self.world.rng.random() < share
 
-    def _loses_answer(self) -> bool:
+    def _is_answer_lost(self) -> bool:
         """Whether only the answer of a transaction is lost."""
-        until, share = self.unanswered
+        until, share = self.answer_loss
         return self.world.now < until and self.world.rng.random() < share
 
     def _count_lost(self, data: Any) -> None:
@@ -122,9 +126,9 @@
             kind = key[: key.rfind("/") + 1] or key
             self.answers_lost[kind] = self.answers_lost.get(kind, 0) + 1
 
-    async def _later(self, data: Any) -> None:
+    async def _commit_late(self, data: Any) -> None:
         """A transaction that nobody hears of any more; in an outage nothing is carried out."""
-        await asyncio.sleep(self.world.rng.uniform(*self.late[2]))
+        await asyncio.sleep(self.world.rng.uniform(*self.delayed_commits[2]))
         while self.world.now < self.outage_until:
             await asyncio.sleep(self.outage_until - self.world.now + 0.01)
         status, _ = self._commit(data)
@@ -135,22 +139,22 @@
     async def handle(
         self, source: str, method: str, path: str, body: bytes
     ) -> tuple[int, Any] | None:
-        if self.down(source):
+        if self.is_down(source):
             return 503, {"error": "down"}
         parts = urlsplit(path)
         query = {key: value[0] for key, value in parse_qs(parts.query).items()}
         data = msgspec.json.decode(body) if body else None
         if not self._spend("requests", 1):
             return 429, {"error": "too many requests"}
-        if parts.path == "/commit" and self._loses():
-            self.world.spawn(self._later(data))
-            await asyncio.sleep(SILENT_S)
+        if parts.path == "/commit" and self._is_delayed_commit():
+            self.world.spawn(self._commit_late(data))
+            await asyncio.sleep(NO_ANSWER_S)
             return None
-        if parts.path == "/commit" and self._loses_answer():
+        if parts.path == "/commit" and self._is_answer_lost():
             status, _ = await self._execute(source, method, parts, query, data)
             if status == 200:
                 self._count_lost(data)
-            await asyncio.sleep(SILENT_S)
+            await asyncio.sleep(NO_ANSWER_S)
             return None
         took, until = self.slow
         if self.world.now < until and parts.path != "/changes":
@@ -168,8 +172,8 @@
     ) -> tuple[int, Any]:
         if parts.path == "/commit":
             assert len(msgspec.json.encode(data)) <= 64 * 1024
-            if self.checked(source):
-                self._judge(data)
+            if self.checks_conditions(source):
+                self._check_conditions(data)
             return self._commit(data)
         if parts.path == "/leases":
             self.lease_number += 1
@@ -201,18 +205,18 @@
         value, stamp, permit = self.keys[key]
         return 200, {"k": key, "v": value, "stamp": stamp, "permit": permit}
 
-    def _failed(self, data: dict[str, Any]) -> list[str]:
+    def _failed_conditions(self, data: dict[str, Any]) -> list[str]:
         """The keys whose conditions do not hold."""
         none = (0, 0, 0)
         return [c["k"] for c in data["if"] if self.keys.get(c["k"], none)[1] != c["stamp"]]
 
-    def _judge(self, data: dict[str, Any]) -> None:
+    def _check_conditions(self, data: dict[str, Any]) -> None:
         """What would be executed without that which makes it harmless later breaks our rule."""
         conditions = {row["k"]: row["stamp"] for row in data["if"]}
         named = (key for key in conditions if key.startswith(BATCH_PREFIX))
         held = {key: self.keys[key][0] for key in named if key in self.keys}
         wrong = missing_conditions(conditions, data.get("apply", []), held)
-        if wrong and not self._failed(data):
+        if wrong and not self._failed_conditions(data):
             raise Broken(f"unfenced: {wrong[0]}")
 
     def _commit(self, data: dict[str, Any]) -> tuple[int, Any]:
@@ -223,15 +227,15 @@
             or len(apply) > self.txn_ops
             or max(sizes, default=0) > self.value_b
         ):
-            assert self.fallen, "beyond the limits that were told"
-            self.malformed.append(self.world.now)
+            assert self.limits_lowered, "beyond the limits that were told"
+            self.oversized_commits.append(self.world.now)
             return 400, {"error": "too large"}
         if not self._spend("changes", len(apply)):
             return 429, {"error": "too many changes"}
         for op in apply:
             if op.get("permit") is not None and op["permit"] not in self.leases:
                 return 400, {"error": "no such lease"}
-        failed = self._failed(data)
+        failed = self._failed_conditions(data)
         if failed:
             return 409, {"failed": failed, "ledgerRev": self.rev}
         if apply:
@@ -242,7 +246,7 @@
         end = self.world.now + int(query.get("blockMs", 0)) / 1000
         after = int(query["after"])
         while True:
-            if not self.down(source):
+            if not self.is_down(source):
                 if after < self.compacted:
                     return 410, {"error": "compacted"}
                 begin = bisect_right(self.log, after, key=lambda row: row[0])
--- a/src/chalkgrade/region/troubles.py
+++ b/src/chalkgrade/region/troubles.py
@@ -61,17 +61,17 @@
         """Whether anything is in trouble now, or a process has just come back."""
         now, store = self.now, self.store
         cut = any(row[2] > now for row in self.cuts)
-        state = now < max(store.outage_until, store.slow[1], *store.refused.values(), 0.0)
+        state = now < max(store.outage_until, store.slow[1], *store.unavailable_until.values(), 0.0)
         frozen = any(until > now for until in self.loop.frozen.values())
         down = any(not self.up(member) for member in self.members)
         # A late transaction or copy may still come after the last one was held up.
-        until, _, (_, most) = store.late
+        until, _, (_, most) = store.delayed_commits
         held = until > 0 and now < until + most
-        lasting = held or now < max(self.copies[0], self.flapped_until)
-        copied = now < max(self.keeps[0], self.given_until)
+        lasting = held or now < max(self.report_copies[0], self.flapped_until)
+        copied = now < max(self.saving_reports[0], self.given_until)
         mute = any(until > now for until in self.muted.values())
         users = now < max(self.at_end[0], self.odd_until, self.close_until)
-        quick = now < max(self.cloud.quick_until, store.unanswered[0])
+        quick = now < max(self.cloud.fast_boots_until, store.answer_loss[0])
         return cut or state or frozen or down or lasting or copied or mute or users or quick
 
     async def election(self, times: int, every: float) -> None:
@@ -96,12 +96,12 @@
     async def keep_for_next(self, seconds: float, share: float) -> None:
         """Copies of reports reach every controller in the first second of the next leader."""
         stamp = self._leader_stamp()
-        self.keeps = (self.now + seconds, share)
+        self.saving_reports = (self.now + seconds, share)
         while stamp == self._leader_stamp() or not self._leader_stamp():
             await asyncio.sleep(NEXT_S)
-        self.keeps = (min(self.now, self.keeps[0]), share)
+        self.saving_reports = (min(self.now, self.saving_reports[0]), share)
         self.given_until = self.now + NEXT_WITHIN_S
-        kept, self.kept = self.kept, {}
+        kept, self.saved_reports = self.saved_reports, {}
         for source, bodies in kept.items():
             for body in bodies:
                 for member in self.members:
@@ -148,7 +148,7 @@
         elif kind == 2:
             self.store.outage(seconds)
         elif kind == 3:
-            self.store.refused[member] = self.now + seconds
+            self.store.unavailable_until[member] = self.now + seconds
         elif kind == 4 and workers:
             chosen = rng.sample(workers, min(len(workers), rng.randrange(1, 4)))
             self.cut(set(chosen), {*nodes, "users"}, seconds * 1.5, hold)
@@ -174,7 +174,7 @@
         elif kind == 11:
             self.loop.freeze(member, self.now + seconds * 3)
         elif kind == 12:
-            self.cloud.boot_trouble = rng.choice(
+            self.cloud.boot_faults = rng.choice(
                 [(0.0, 0.05, self.now + 60), (0.5, 4.0, self.now + 60), (1.0, 1.0, self.now + 40)]
             )
         elif kind == 13:
@@ -198,7 +198,7 @@
             self.deafen(set(chosen), seconds * 3)
         elif kind == 18:
             late = rng.choice([(0.5, 8.0), (4.0, 40.0), (12.0, 90.0)])
-            self.copies = (self.now + seconds * 2, 0.3, late)
+            self.report_copies = (self.now + seconds * 2, 0.3, late)
         elif kind == 19:
             self.isolate(member, seconds, hold)
         elif kind == 20:
--- a/src/chalkgrade/region/versions.py
+++ b/src/chalkgrade/region/versions.py
@@ -16,7 +16,7 @@
 PACKAGE = "chalkgrade"
 
 
-class NoHistory(Exception):
+class CommitNotFound(Exception):
     """The commit is not in the repository's history: nothing can be said of that version."""
 
 
@@ -29,7 +29,7 @@
     no_answer: type[Exception]
 
 
-def production(root: Path) -> str:
+def production_commit(root: Path) -> str:
     """The commit that deploy/service.toml names."""
     return str(tomllib.loads((root / "deploy" / "service.toml").read_text())["production"])
 
@@ -40,7 +40,7 @@
         ["git", "archive", commit, f"src/{PACKAGE}"], cwd=root, capture_output=True, check=False
     )
     if found.returncode:
-        raise NoHistory(f"{commit}: {found.stderr.decode(errors='replace').strip()}")
+        raise CommitNotFound(f"{commit}: {found.stderr.decode(errors='replace').strip()}")
     with tarfile.open(fileobj=BytesIO(found.stdout)) as packed:
         packed.extractall(room, filter="data")
     own = {name: sys.modules.pop(name) for name in list(sys.modules) if _ours(name)}
--- a/src/chalkgrade/region/world.py
+++ b/src/chalkgrade/region/world.py
@@ -71,13 +71,13 @@
         super().__init__(loop, seed)
         self.nodes: dict[str, Node | None] = dict.fromkeys(self.members)
         self.versions: dict[str, Version] = {}  # controllers that start as another version
-        self.store.checked = lambda source: source not in self.versions
+        self.store.checks_conditions = lambda source: source not in self.versions
         self.epochs = dict.fromkeys(self.members, 0)
         self.contexts: dict[str, contextvars.Context] = {}
-        self.last_nodes: list[Node] = []  # those that have ended, for their counts
+        self.stopped_nodes: list[Node] = []  # those that have ended, for their counts
         self.peer_messages = 0
         self.idle = IdleRoom(self)
-        self.seen: dict[str, int] = {}  # suspicions and verdicts, of all controllers
+        self.health_changes: dict[str, int] = {}  # suspicions and verdicts, of all controllers
         self.false_verdicts = 0  # of controllers that were up, reached and registered
         self.servers["state"] = lambda *request: self.store.handle(*request)
         self.servers["cloud"] = lambda *request: self.cloud.handle(*request)
@@ -120,9 +120,9 @@
 
         def changed(subject: str, old: str, new: str) -> None:
             plain(subject, old, new)
-            self.seen[new] = self.seen.get(new, 0) + 1
+            self.health_changes[new] = self.health_changes.get(new, 0) + 1
             if old == "suspect" and new == "alive":
-                self.seen["refuted"] = self.seen.get("refuted", 0) + 1
+                self.health_changes["refuted"] = self.health_changes.get("refuted", 0) + 1
             if new == "failed":
                 key = f"{MEMBERS_PREFIX}{subject}"
                 self.false_verdicts += key in self.store.keys
@@ -139,11 +139,11 @@
             return
         self.epochs[member] += 1
         self.loop.thaw(member)  # the next process runs, however long this one would have stood
-        self.last_nodes.append(node)
+        self.stopped_nodes.append(node)
         node.stop()
         self.nodes[member] = None
 
-    async def within(self, member: str, work: Awaitable[Any]) -> Any:
+    async def run_as(self, member: str, work: Awaitable[Any]) -> Any:
         """Have a controller do something, as part of it: it waits while that is silent."""
         task: asyncio.Task[Any] = self.loop.create_task(
             work,  # type: ignore[arg-type]
@@ -157,11 +157,11 @@
             if node is None:
                 return None
             if method == "PEER":
-                reply = await self.within(member, node.on_peer(body))
+                reply = await self.run_as(member, node.on_peer(body))
                 answer = 200, msgspec.json.decode(msgspec.json.encode(reply))
             else:
                 raw = body if isinstance(body, bytes) else msgspec.json.encode(body)
-                status, data = await self.within(member, node.handle(method, path, raw))
+                status, data = await self.run_as(member, node.handle(method, path, raw))
                 answer = status, msgspec.json.decode(msgspec.json.encode(data))
             return answer if self.epochs[member] == epoch else None
 
@@ -197,10 +197,10 @@
             await world.user(spec, abort)
 
         world.spawn(later())
-    await wait(world, begin + seconds, begin + seconds + calm, lambda: jobs)
+    await wait_for_jobs(world, begin + seconds, begin + seconds + calm, lambda: jobs)
 
 
-async def wait(world: World, least: float, most: float, jobs: Callable[[], int]) -> None:
+async def wait_for_jobs(world: World, least: float, most: float, jobs: Callable[[], int]) -> None:
     """Until all jobs are over, within two times; raises what broke."""
     while world.now < most:
         await asyncio.sleep(0.5)
--- a/tests/gap_model.py
+++ b/tests/gap_model.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.state.lease_expiry import LeaseExpiry
 
 # All in ticks; the last one stands for `worker_grace_s`.
@@ -54,7 +54,7 @@
     grace = WORKER_GRACE
 
     def __init__(self) -> None:
-        self.clock = HandClock(0.0)
+        self.clock = ManualClock(0.0)
 
     def lease_expiry(self, known: float) -> LeaseExpiry:
         """The program's own class, with both of its times set to `known`."""
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -23,7 +23,7 @@
     """The version that deploy/service.toml names: its true code, or NoHistory."""
     if not _loaded:
         room = Path(tempfile.mkdtemp(prefix="production-"))
-        _loaded.append(versions.load(ROOT, versions.production(ROOT), room))
+        _loaded.append(versions.load(ROOT, versions.production_commit(ROOT), room))
     return _loaded[0]
 
 
@@ -104,7 +104,7 @@
 
     async def falls(self, after: float) -> None:
         await asyncio.sleep(after)
-        self.store.fall()
+        self.store.lower_limits()
 
     async def upgrade(self, before: float, between: tuple[float, float]) -> None:
         """Each controller in turn ends and comes back with this version."""
--- a/tests/test_absence_model.py
+++ b/tests/test_absence_model.py
@@ -21,7 +21,7 @@
 from chalkgrade.machines.fleet import Fleet, Machine, Report, TaskReport, orders
 from chalkgrade.record.jobs import Attempt, Job, JobValue
 from chalkgrade.record.oplog import OpLog
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from test_membership import QUICK
 from test_placement_rentals import spec
 
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.token = 0
         # The worker.
         self.tenure, self.seq, self.baton = 1, 0, 0
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -72,7 +72,7 @@
 
     async def answers_lost(self, until: float, share: float) -> None:
         while self.now < until:
-            self.store.unanswered = (self.now + LOSS_PERIOD_S, share)
+            self.store.answer_loss = (self.now + LOSS_PERIOD_S, share)
             await asyncio.sleep(2 * LOSS_PERIOD_S)
 
 
@@ -92,7 +92,7 @@
 
 
 async def _leader_refused(world: CloseQueries, leader: str) -> None:
-    world.store.refused[leader] = world.now + FAULT_S
+    world.store.unavailable_until[leader] = world.now + FAULT_S
 
 
 async def _cut_off(world: CloseQueries, leader: str) -> None:
@@ -359,7 +359,7 @@
         return found
 
     third.ledger.scan = scan  # type: ignore[method-assign]
-    answer = await world.within(
+    answer = await world.run_as(
         third.settings.member, third.job_api.record_reader.read_status(name, absent_at_leader=False)
     )
     assert answer[1]["status"] == "withdrawn" and scans[:2] == [JOB_PREFIX, BATCH_PREFIX], answer
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -444,7 +444,7 @@
     node = _acting_leader(world)
     assert node is not None
     old, now = node.settings.member, world.now
-    world.loop.call_later(0.2, world.store.refused.__setitem__, old, now + 120.0)
+    world.loop.call_later(0.2, world.store.unavailable_until.__setitem__, old, now + 120.0)
     world.loop.call_later(1.2, world.store.outage, world.CANCEL_S + 30.0)
 
     async def ask(name: str) -> None:
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -281,7 +281,7 @@
     history.jobs["run-000001"]["asked"] = False
     history.jobs["run-000001"]["spec"] |= changes
     for pool in pools:
-        history.cloud.there(pool, 1)
+        history.cloud.add_running(pool, 1)
     assert _waits(history) == breaks
 
 
@@ -328,7 +328,7 @@
 @pytest.mark.parametrize("change", [_cancelled, _sick, _leaving, _full, _troubled])
 def test_idle_room_is_none_where_nothing_could_start(change: Any, history: World) -> None:
     history.jobs["run-000001"]["asked"] = False
-    history.cloud.there(ROOMS[0], 1)
+    history.cloud.add_running(ROOMS[0], 1)
     change(history)
     assert not _waits(history, 200.0)
 
@@ -378,7 +378,7 @@
     history: World,
 ) -> None:
     """One whose launch was under way may still start for a while: it is counted."""
-    history.cloud.there(ROOMS[0], 1)
+    history.cloud.add_running(ROOMS[0], 1)
     worker = history.workers["host-000001"]
     spec = history.jobs["run-000001"]["spec"]
     history.heard("run-000001", WITHDRAWN)
@@ -478,7 +478,7 @@
         world.give = give  # type: ignore[method-assign]
         world.spawn(world.keep_for_next(10.0, 1.0))
         await asyncio.sleep(15.0)
-        assert not came and sum(len(bodies) for bodies in world.kept.values()) >= 4
+        assert not came and sum(len(bodies) for bodies in world.saved_reports.values()) >= 4
         world.store.written[LEADER_KEY] = []
         world.spawn(world.restart(world.leaders()[0], 2.0))
         await _wait_until(world, 60.0, lambda: bool(world.leaders()))
--- a/tests/test_conditions.py
+++ b/tests/test_conditions.py
@@ -127,7 +127,7 @@
     """Otherwise its record exists again after its end, and each leader that meets it steps down."""
     if bug:
         monkeypatch.setattr(JobRegistry, "_end_keys_to_be_absent", lambda self, job, stamp: [])
-        monkeypatch.setattr(Store, "_judge", lambda self, data: None)
+        monkeypatch.setattr(Store, "_check_conditions", lambda self, data: None)
     # As after a reduction of the limits: the batch can be rewritten only without the job.
     monkeypatch.setattr(
         JobRegistry, "_can_rewrite", lambda self, batch, edits: None in edits.values()
@@ -192,7 +192,7 @@
             return await plain(self, {} if parts else conditions, apply, timeout)
 
         monkeypatch.setattr(LedgerClient, "commit", commit)
-        monkeypatch.setattr(Store, "_judge", lambda self, data: None)
+        monkeypatch.setattr(Store, "_check_conditions", lambda self, data: None)
 
     async def scenario(world: Any) -> None:
         leader = _acting_leader(world)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -19,8 +19,8 @@
 from chalkgrade import constants
 from chalkgrade.outside import NoAnswer
 from chalkgrade.region.cloud import Cloud
-from chalkgrade.region.ground import Ground
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.ground import SimulationBase
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.region.store import Store
 from chalkgrade.serving.client import HttpClient
 from chalkgrade.serving.connection_guard import (
@@ -39,7 +39,7 @@
     """The simulated state service and cloud, served over HTTP on loopback."""
 
     ROOMS: dict[Any, int] = {}
-    FLAVORS = Ground.FLAVORS
+    FLAVORS = SimulationBase.FLAVORS
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.rng = settings, random.Random(1)
@@ -291,7 +291,7 @@
     A guard that miscounts would close connections in use, or let them exceed the sockets.
     """
     for seed in range(20):
-        rng, clock = random.Random(seed), HandClock()
+        rng, clock = random.Random(seed), ManualClock()
         ended: list[int] = []
         guard: ConnectionGuard[int] = ConnectionGuard(clock, ended.append, 1200)
         alive: dict[int, str] = {}  # connection -> its state, and its kind of client
@@ -328,7 +328,7 @@
     """Opens and uses connections of given kinds at one guard."""
 
     def __init__(self, sockets: int) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.guard: ConnectionGuard[int] = ConnectionGuard(self.clock, self._ended, sockets)
         self.kinds: dict[int, RequestKind] = {}
         self.ended: list[RequestKind] = []
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -16,7 +16,7 @@
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import Job
 from chalkgrade.record.registry import JobRegistry
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.cancellation_poll import Told
@@ -192,7 +192,7 @@
     assert leader is not None
     old = leader.settings.member
     others = _isolate_with_workers(world, old, 300.0)
-    world.store.refused[old] = world.now + 300.0
+    world.store.unavailable_until[old] = world.now + 300.0
     await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
     new = next(member for member in others if _is_acting(world, member))
     await _abort_until_told(world, new, spec["nameId"])
@@ -255,7 +255,7 @@
         old = leader.settings.member
         others = set(world.members) - {old}
         world.cut({old}, others, 300.0, False)
-        world.store.refused[old] = world.now + 300.0
+        world.store.unavailable_until[old] = world.now + 300.0
         await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
         new = next(member for member in others if _is_acting(world, member))
         world.spawn(_cut_report_paths(world, path, old, new))
@@ -443,7 +443,7 @@
         old = leader.settings.member
         others = set(world.members) - {old}
         world.cut(set(world.workers), others, 300.0, False)
-        world.store.refused[old] = world.now + 300.0
+        world.store.unavailable_until[old] = world.now + 300.0
         await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
         await _abort_until_told(world, next(m for m in others if _is_acting(world, m)), name)
         world.store.outage(world.CANCEL_S + 40.0)
@@ -460,7 +460,7 @@
 
 
 def test_a_process_lists_only_a_period_that_it_knows_completely() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     told = Told(clock)
     clock.at += 10.0
     told.note_answer(200, {"nameId": "run-1", "status": "withdrawn"})
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -26,7 +26,7 @@
 from chalkgrade.record.jobs import Attempt, Job, JobValue
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.licences import LicenceServer
-from chalkgrade.region.loop import Clock, HandClock, VirtualLoop
+from chalkgrade.region.loop import Clock, ManualClock, VirtualLoop
 from chalkgrade.settings import SettingsError, Team
 from chalkgrade.sharing.queues import Queues
 from test_placement_rentals import spec
@@ -49,7 +49,7 @@
 
     def __init__(self, teams: tuple[Team, ...] = (Team("red"), Team("blue"))) -> None:
         plain = experiment.plain_settings(list(teams))
-        self.clock, self.log, self.jobs = HandClock(), OpLog(16 * 1024), list[Job]()
+        self.clock, self.log, self.jobs = ManualClock(), OpLog(16 * 1024), list[Job]()
         self.usable = {pool: Usable(seats) for pool, seats in SEATS.items()}
         pools = [LicencePool(pool, seats) for pool, seats in SEATS.items()]
         self.queues = Queues(plain, self.clock, {})
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,7 +42,7 @@
         super().__init__(*args)
         self.store.written[LEADER_KEY] = []
         for site in self.ZONES:
-            self.cloud.there(("small", site, True), 8)  # so that no boot time is measured
+            self.cloud.add_running(("small", site, True), 8)  # so that no boot time is measured
 
 
 def _work(number: int, owner: str, **changes: Any) -> dict[str, Any]:
@@ -162,7 +162,7 @@
 
 
 async def _hand_over(world: World, node: Node) -> bool:
-    return bool(await world.within(node.settings.member, node.handover.transfer_lead(CLOUD)))
+    return bool(await world.run_as(node.settings.member, node.handover.transfer_lead(CLOUD)))
 
 
 async def _change_leader(world: World, how: str) -> None:
@@ -179,7 +179,7 @@
     elif how == "back":
         await world.restart(member, 0.2)
     else:  # the state service refuses the leader, which keeps its workers
-        world.store.refused[member] = world.now + 12.0
+        world.store.unavailable_until[member] = world.now + 12.0
 
     def passed() -> bool:
         now = _acting_leader(world)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -545,7 +545,7 @@
                 return row
 
             old.ledger.get = get
-        found = await world.within(old.settings.member, writer._applied_revision(writes))
+        found = await world.run_as(old.settings.member, writer._applied_revision(writes))
         assert (found is None) != bug
 
     tell(scenario, 4, loss=0.0, kind=AnswerLossWorld)
@@ -568,9 +568,9 @@
         there = record | {"aborted": True} if aborted else record
         end = END_PREFIX + "run-000900"
         made = leader.ledger.commit({mine.key: 0, end: 0}, [{"write": mine.key, "v": there}])
-        stamp = await world.within(leader.settings.member, made)
+        stamp = await world.run_as(leader.settings.member, made)
         writer = leader.job_api.term.writer
-        found = await world.within(leader.settings.member, writer._applied_revision([mine]))
+        found = await world.run_as(leader.settings.member, writer._applied_revision([mine]))
         assert found == (stamp if aborted else 0)
 
     tell(scenario, 4, loss=0.0, kind=AnswerLossWorld)
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -323,7 +323,7 @@
         lost = _busy(world)[0]
         pool = ("small", zone, True)
         world.cloud.remove(lost)
-        world.cloud.rooms[pool] = 0
+        world.cloud.free_machines[pool] = 0
         await asyncio.sleep(1.0)
         assert 0 < len(world.of_job(name)) < 8 and _zones(world, name) == {zone}
         await _wait_until(world, 120.0, lambda: len(world.of_job(name)) == 8)
@@ -370,9 +370,9 @@
         other = next(z for z in world.ZONES if z != zone)  # the other zone has room meanwhile
         world.spawn(world.user(_long_job(2, 1) | {"site": other, "expectedS": 250.0}, None))
         await _wait_until(world, 60.0, lambda: bool(world.of_job("run-000002")))
-        for pool in world.cloud.rooms:
+        for pool in world.cloud.free_machines:
             if pool[1] == zone:
-                world.cloud.rooms[pool] = 0
+                world.cloud.free_machines[pool] = 0
         # One after the other: the remaining tasks bind the lost ones to the zone.
         hosts = sorted({worker.name for worker, _ in world.of_job(name)})
         assert len(hosts) == 2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
 from chalkgrade.membership.messages import MemberStatus
 from chalkgrade.membership.views import ALIVE, FAILED, SUSPECT, Views
 from chalkgrade.region.fleet import play_day
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.node import Node
 from chalkgrade.state import leadership
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.stamp = 0
         self.up = dict.fromkeys(NAMES, True)
         self.suspended = dict.fromkeys(NAMES, False)
@@ -307,7 +307,7 @@
 
 async def _give_lead(world: World, node: Node) -> bool:
     try:
-        return bool(await world.within(node.settings.member, node.handover.transfer_lead(WORKERS)))
+        return bool(await world.run_as(node.settings.member, node.handover.transfer_lead(WORKERS)))
     except asyncio.CancelledError:
         return False
 
@@ -369,7 +369,7 @@
 
 def test_leadership_does_not_alternate_between_controllers() -> None:
     """Each controller hands over at most once a minute, and less and less often."""
-    clock = HandClock()
+    clock = ManualClock()
     health = LeaderHealth(clock, 3.0)
     health.start_leading()
     given = []
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -18,7 +18,7 @@
 from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX
-from chalkgrade.region.loop import HandClock, VirtualLoop
+from chalkgrade.region.loop import ManualClock, VirtualLoop
 from chalkgrade.region.rules import Broken, History
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.serving.lookups import Lookups
@@ -84,7 +84,7 @@
             if node is not None and node.term is not None and world.now > begun + 40.0:
                 for name in chosen:
                     machine = node.term.fleet.machines.get(name)
-                    if machine is not None and world._cut("n-0", name) is not None:
+                    if machine is not None and world._find_cut("n-0", name) is not None:
                         assert not node.term.fleet.usable(machine), name
             await asyncio.sleep(0.5)
         for job in world.jobs.values():  # the failures are not attributed to the jobs
@@ -108,7 +108,7 @@
     Neither several copies of its reports nor one of its first report, which carries no token, may
     make the machine usable.
     """
-    clock = HandClock()
+    clock = ManualClock()
     new_leader = Fleet(clock, 50, LEASE_S, REPORT_S)
     made = Report("host-9", 2, 40, 41, "quad", "a")
     machine = new_leader.accept_report(made)
@@ -140,18 +140,18 @@
         for seq, status in ((7, 421), (7, 421), (5, 421)):
             made = {"host": "host-900", "tenure": 2, "seq": seq, "baton": 1, "hosttype": "small"}
             raw = msgspec.json.encode(made | {"site": "a", "tasks": []})
-            answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+            answer = await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
             assert answer == (status, {"reportsTo": lead})
         assert not reception.relayed_since and not reception.returns_at
         assert other.views.by_member[lead].returned_at == before
         # A newer report at once: the earlier ones were copies, and this is from the worker.
         raw = raw.replace(b'"seq":5', b'"seq":8')
-        answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+        answer = await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
         assert answer == (421, {"reportsTo": lead}) and not reception.relayed_since
         assert other.views.by_member[lead].returned_at == before
         await asyncio.sleep(1.0)
         raw = raw.replace(b'"seq":8', b'"seq":9')
-        await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+        await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
         assert other.views.by_member[lead].returned_at > before  # newer and later: it did come back
 
     tell(story, loss=0.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -206,7 +206,7 @@
         node = world.nodes[member]
         assert node is not None
         raw = msgspec.json.encode(made)
-        answer: tuple[int, Any] = await world.within(member, node.handle("POST", "/v2/runs", raw))
+        answer: tuple[int, Any] = await world.run_as(member, node.handle("POST", "/v2/runs", raw))
         if answer[0] != 503:
             break
         await asyncio.sleep(0.5)
@@ -260,7 +260,7 @@
         node = world.nodes["n-0"]
         assert node is not None
         unknown = msgspec.json.encode(_named(world, 900, ["run-000001", "run-777777"]))
-        assert (await world.within("n-0", node.handle("POST", "/v2/runs", unknown)))[0] == 503
+        assert (await world.run_as("n-0", node.handle("POST", "/v2/runs", unknown)))[0] == 503
 
     tell(story, loss=0.0, kind=Piped)
 
@@ -269,7 +269,7 @@
     """200 names of 100 characters under limits of 2 KiB; found again by the next leader."""
 
     async def story(world: World) -> None:
-        world.store.fall()
+        world.store.lower_limits()
         names = []
         for number in range(1, 21):
             made = _named(world, number, [], tasks=1, expectedS=0.5 if number < 20 else 12.0)
@@ -321,7 +321,7 @@
     """Before the changes for it are affordable, and by who only reads."""
 
     async def story(world: World) -> None:
-        world.store.fall()
+        world.store.lower_limits()
         first = _named(world, 1, [], expectedS=500.0, tasks=1)
         first["waitsOn"] = None
         assert (await _taken(world, first))[0] == 201
@@ -338,7 +338,7 @@
             assert node is not None
             while True:
                 raw = msgspec.json.encode(made)
-                if (await world.within("n-1", node.handle("POST", "/v2/runs", raw)))[0] < 300:
+                if (await world.run_as("n-1", node.handle("POST", "/v2/runs", raw)))[0] < 300:
                     break
         world.jobs["run-000001"]["asked"] = True
         while world.jobs["run-000001"]["aborted"] is None:
@@ -393,7 +393,7 @@
                 node = world.nodes[member]
                 assert node is not None
                 raw = msgspec.json.encode(made)
-                answer = await world.within(member, node.handle("POST", "/v2/runs", raw))
+                answer = await world.run_as(member, node.handle("POST", "/v2/runs", raw))
                 known = {201, 503} if waits == ["run-000001"] else {422, 503}
                 assert answer[0] in known, (waits, answer)
                 seen.add(answer[0])
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -31,7 +31,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.cloud.quick_until = float("inf")
+        self.cloud.fast_boots_until = float("inf")
         self.moment = ""  # at which the leader ends, a few times
         self.back = 3.0  # s; until it is back
         self.met: list[str] = []  # moments that came about
@@ -96,9 +96,9 @@
     world.spawn(_check_single_leader(world))
     world.moment = moment
     if lag == "answers lost":
-        world.store.unanswered = (world.now + 60.0, 0.4)
+        world.store.answer_loss = (world.now + 60.0, 0.4)
     elif lag == "late":
-        world.store.late = (world.now + 60.0, 0.4, (2.0, 12.0))
+        world.store.delayed_commits = (world.now + 60.0, 0.4, (2.0, 12.0))
     else:
         world.store.slow = (0.3, world.now + 60.0)
     for wave in range(6):
@@ -107,7 +107,7 @@
     await _wait_until(world, 300.0, lambda: len(world.jobs) == 6)
     await _wait_until(world, 300.0, lambda: all(job["over"] for job in world.jobs.values()))
     assert len(world.met) == 3, f"no pass: {world.met}"
-    rented = {name for hosts in world.cloud.hires.values() for name in hosts}
+    rented = {name for hosts in world.cloud.rental_machines.values() for name in hosts}
     assert rented, "machines were rented"
     # Nobody keeps a machine without work: also none whose hire's answer was lost.
     await _wait_until(world, IDLE_S + 40.0, lambda: not world.cloud.machines)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -22,7 +22,7 @@
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.region.day import Fault
 from chalkgrade.region.fleet import figures, play_day
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.node import Node
 from chalkgrade.state.client import LedgerClient
@@ -120,7 +120,7 @@
             await asyncio.sleep(0.1)
         raw = msgspec.json.encode(_any_machine_job(world, 1))
         while True:
-            answer = await world.within(nodes[0].settings.member, nodes[0].handle(
+            answer = await world.run_as(nodes[0].settings.member, nodes[0].handle(
                 "POST", "/v2/runs", raw))  # fmt: skip
             if answer[0] in (200, 201):
                 break
@@ -198,11 +198,11 @@
         assert node is not None
         other = next(n for n in world.nodes.values() if n is not None and n is not node)
         member = other.settings.member
-        offer = await world.within(member, other.leadership.prepare_takeover())
+        offer = await world.run_as(member, other.leadership.prepare_takeover())
         world.spawn(world.restart(member, BACK_S))
         await asyncio.sleep(0.1)
         home, lead = other.leadership.home, node.leadership
-        moved = await world.within(
+        moved = await world.run_as(
             node.settings.member,
             lead.hand_over(member, offer.permit, offer.nonce, offer.lease_s, home),
         )
@@ -246,7 +246,7 @@
         node = world.nodes[member]
         assert node is not None and node.leadership.leader == lead
         report = {"host": "host-x", "tenure": 1, "seq": 1, "baton": 0, "hosttype": "small"}
-        answer = await world.within(
+        answer = await world.run_as(
             member, node.handle("POST", "/hello", msgspec.json.encode(report | {"site": "a"}))
         )
         assert answer == (421, {"reportsTo": lead})
@@ -257,7 +257,7 @@
 
 def test_delayed_statuses_do_not_revive_an_ended_process() -> None:
     """Delayed statuses of the first process must not replace the second, which has no key yet."""
-    clock = HandClock()
+    clock = ManualClock()
     views = Views("n-0", ["n-1", "n-2"], clock)
 
     def status(process: str, stamp: int, seq: int) -> MemberStatus:
@@ -280,7 +280,7 @@
 
 def test_a_delayed_first_report_does_not_prove_that_a_task_is_absent() -> None:
     """A machine that had seen no token when it sent the report may have got work since."""
-    clock = HandClock()
+    clock = ManualClock()
     spec = {"nameId": "run-000001", "jobclass": "x", "owner": "blue", "shape": "batch"}
     spec |= {"urgency": "high", "tasks": 2, "vcpus": 1.0, "gpus": 0.0, "memoryGb": 1.0}
     spec |= {"bundle": "i", "pullGb": 1.0, "hosttypes": None, "site": None, "oneZone": False}
@@ -328,7 +328,7 @@
         leader.ledger._http = leader.cloud._http = held  # type: ignore[assignment]
         spec = _any_machine_job(world, 1)
         raw = msgspec.json.encode(spec)
-        world.spawn(world.within(member, leader.handle("POST", "/v2/runs", raw)))
+        world.spawn(world.run_as(member, leader.handle("POST", "/v2/runs", raw)))
         other = parse_submission(msgspec.json.encode(_any_machine_job(world, 2)), 16 * 1024)
         leader.term.registry.add(
             JobValue(other, 0.0), 0, observe=True
@@ -347,12 +347,12 @@
         status, found = await world.cloud.handle(member, "POST", "/rentals", rentals[0])
         assert status == 200 and all(hire.startswith(f"h{token}-") for hire in hires)
         name = then.settings.member
-        answer = await world.within(name, then.handle("GET", f"/v2/runs/{spec['nameId']}", b""))
+        answer = await world.run_as(name, then.handle("GET", f"/v2/runs/{spec['nameId']}", b""))
         assert answer[0] == 404  # no user was told that the job exists
-        answer = await world.within(name, then.handle("POST", "/v2/runs", raw))
+        answer = await world.run_as(name, then.handle("POST", "/v2/runs", raw))
         assert answer[0] == 201
         await _wait_until(world, 60.0, lambda: len(world.done) == spec["tasks"])
-        assert not any(hire in hires for hire in list(world.cloud.hires)[1:])
+        assert not any(hire in hires for hire in list(world.cloud.rental_machines)[1:])
         term = then.term
         assert term is not None
         there = set(term.fleet.machines) | set(term.fleet.gone)
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -17,7 +17,7 @@
 from chalkgrade.record.changes import RecentEnds
 from chalkgrade.record.oplog import OpLog
 from chalkgrade.record.writer import Writer
-from chalkgrade.region.loop import HandClock
+from chalkgrade.region.loop import ManualClock
 
 Patch = pytest.MonkeyPatch
 # Upper bound of the median time until an end is durable, s. In the combined case 12 s without a
@@ -111,7 +111,7 @@
 
 def test_a_machine_tracks_only_images_that_fit_its_disk() -> None:
     """Otherwise the leader keeps an entry for each image that a machine ever held."""
-    clock, flavor = HandClock(), Flavor("small", 4.0, 16.0, ["a"], localGb=8.0)
+    clock, flavor = ManualClock(), Flavor("small", 4.0, 16.0, ["a"], localGb=8.0)
     machine = Machine("host-1", "small", "a", False, 0.0)
     for number in range(100):
         machine.image_gb[f"img-{number}"] = 1.0
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -374,20 +374,20 @@
     """Standing work never stays unexplained, with and without a lease."""
 
     async def story(world: World) -> None:
-        world.cloud.rooms = dict.fromkeys(world.cloud.rooms, 0)
+        world.cloud.free_machines = dict.fromkeys(world.cloud.free_machines, 0)
         leader, _ = _roles(world)
         await _submit(world, leader, 1, tasks=5, expectedS=30.0)
         await asyncio.sleep(5.0)
         term = leader.term
         assert term is not None
         assert term.scheduling.standing() == {("small", wait_reasons.REASON_NO_CAPACITY): 5}
-        world.cloud.rooms = {("small", "a", True): 1}
+        world.cloud.free_machines = {("small", "a", True): 1}
         while not term.fleet.machines:
             await asyncio.sleep(0.5)
         assert term.scheduling.standing() == {("small", wait_reasons.REASON_BOOTING): 5}
         while world.started < 4:
             await asyncio.sleep(0.5)
-        world.cloud.rooms = dict.fromkeys(world.cloud.rooms, 0)
+        world.cloud.free_machines = dict.fromkeys(world.cloud.free_machines, 0)
         await asyncio.sleep(2.0)
         assert set(term.scheduling.standing().values()) == {1}
         world.store.outage(30.0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -35,7 +35,7 @@
     world = play(seed, jobs=30, kind=Piped, prepare=_rolled)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
     assert sum(bool(job["spec"].get("waitsOn")) for job in world.jobs.values()) > 0
-    assert world.store.fallen
+    assert world.store.limits_lowered
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -80,7 +80,7 @@
 
     world = play(seed + 40, jobs=30, kind=Piped, prepare=prepare)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
-    assert len(world.store.malformed) < 10
+    assert len(world.store.oversized_commits) < 10
 
 
 async def _large_batches(world: Piped, jobs: int) -> list[str]:
@@ -122,16 +122,16 @@
             world.versions.pop(member, None)
             world.crash(member)
         if at == "taken over":
-            world.store.fall()
+            world.store.lower_limits()
         for member in world.members:
             world.boot(member)
         if at == "splitting":
             while len(_sizes(world)) < 4:
                 await asyncio.sleep(0.005)
-            world.store.fall()
+            world.store.lower_limits()
         while at == "split" and max(_sizes(world), default=0) > 2048:
             await asyncio.sleep(0.05)
-        world.store.fall()
+        world.store.lower_limits()
         await asyncio.sleep(20.0)
         # A leader that starts after the fall knows nothing of the time before.
         for member in world.leaders():
@@ -144,7 +144,7 @@
             await asyncio.sleep(1.0)
         await asyncio.sleep(10.0)
         assert not _sizes(world), _sizes(world)
-        steps.append(len(world.store.malformed))
+        steps.append(len(world.store.oversized_commits))
 
     def prepare(world: World) -> None:
         world.versions = dict.fromkeys(world.members, production())
