--- a/src/chalkgrade/region/day.py
+++ b/src/chalkgrade/region/day.py
@@ -1,4 +1,4 @@
-"""A day as a file: a fleet, what is asked of it, and what fails when."""
+"""Day files: the machines of a simulated day, its jobs and the times of its faults."""
 
 from pathlib import Path
 from typing import Any, Literal
@@ -23,26 +23,29 @@
     name: str
     vcpus: float
     memory_gb: float
-    boot_s: float
-    hourly: float
-    spot_hourly: float
+    boot_s: float  # mean boot time; single boots take 0.2 to 1.8 times as long
+    hourly: float  # price of an hour on demand
+    spot_hourly: float  # price of an hour as a spot machine
     gpus: float = 0.0
-    local_gb: float = 20.0
-    pull_gb_s: float = 0.5
+    local_gb: float = 20.0  # local disk, which caches images
+    pull_gb_s: float = 0.5  # rate at which images are pulled
 
 
 class Room(msgspec.Struct, forbid_unknown_fields=True):
     """How many machines of a type the cloud has in a zone, and how many are up at the start."""
 
-    kind: str
+    kind: str  # name of the machine type
     zone: str
-    count: int
-    spot: bool = True
-    up: int = 0
+    count: int  # machines that can be rented at a time, those that are up included
+    spot: bool = True  # spot machines, or else on-demand ones
+    up: int = 0  # machines that are rented and up at the start
 
 
 class Work(msgspec.Struct, forbid_unknown_fields=True):
-    """A class of jobs; its teams take turns at random. Times in seconds."""
+    """A class of similar jobs, each submitted by a random one of its teams.
+
+    Fields with two values are the bounds of a random choice.
+    """
 
     name: str
     teams: list[str]
@@ -52,69 +55,72 @@
     vcpus: float = 1.0
     memory_gb: float = 2.0
     run_s: tuple[float, float] = (5.0, 20.0)
-    images: int = 3
+    images: int = 3  # number of different images, of which each job uses one
     image_gb: float = 0.5
-    savepoint_s: float = 0.0
-    flush_s: float = 0.0
-    due_s: float | None = None
-    at_start: int = 0
-    a_minute: float = 0.0
-    spot: bool = True
-    zone: str = ""  # the only one in which it may run
-    one_zone: bool = False  # all of its tasks in one, whichever
-    stop_after_s: float | None = None  # its user aborts it so long after; services need one
-    cancelled: float = 0.0  # share whose users abort them, at a time that is drawn
-    cancel_s: tuple[float, float] = (5.0, 60.0)  # after their submission
+    savepoint_s: float = 0.0  # interval of the tasks' savepoints; 0: none
+    flush_s: float = 0.0  # time that saving takes when a task is stopped
+    due_s: float | None = None  # deadline after the submission
+    at_start: int = 0  # jobs submitted in the first 3 s
+    a_minute: float = 0.0  # jobs submitted per minute after that
+    spot: bool = True  # may run on spot machines
+    zone: str = ""  # the only zone in which the jobs may run; empty: any
+    one_zone: bool = False  # all tasks of a job run in one zone, whichever it is
+    stop_after_s: float | None = None  # time until the user aborts the job; services need it
+    cancelled: float = 0.0  # share of the jobs that their users abort at a random time
+    cancel_s: tuple[float, float] = (5.0, 60.0)  # bounds of that time, after the submission
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """What fails at a set time; faults at one time come together."""
+    """A fault at a set time; faults with the same time occur together. Times are in seconds."""
 
-    at: float
+    at: float  # after the start of the day
     kind: Literal[
         "crash", "roll", "freeze", "refuse", "outage", "slow", "cut", "zone", "stop", "silence",
         "take", "sick", "flap", "deaf", "copies", "isolate", "election", "limits",
         "late_writes", "hang", "mute", "cancel_now", "cancel_at_end", "odd_requests",
         "close_looks", "quick_boots",
     ]  # fmt: skip
-    seconds: float = 10.0  # how long, or until a controller is back
-    times: int = 5  # of a flap: how often each of them ends; of an election: how many restarts
-    every: float = 3.0  # of a flap: how long a process lives on average, a third to 5/3 of it
-    share: float = 0.3  # of reports that are copied, of transactions that get no answer, of jobs
-    # that are called off at their end
-    late: tuple[float, float] = (2.0, 40.0)  # s; how late the copies come, or are carried out
+    seconds: float = 10.0  # duration, or time until a controller is restarted
+    times: int = 5  # flap: how often each process ends; election: number of restarts
+    every: float = 3.0  # flap: mean lifetime of a process, which varies from 1/3 to 5/3 of it
+    share: float = 0.3  # share of the reports that are copied, of the transactions that get no
+    # answer, or of the jobs that are cancelled when they end
+    late: tuple[float, float] = (2.0, 40.0)  # bounds of the delay of copied reports and late writes
     who: str = "leader"  # leader, others, all, or a controller's name
-    count: int = 1  # controllers, machines, or jobs that are called off
-    zone: str = ""  # of machines, or the one that is cut off
-    one: list[str] = []  # sides of a cut: leader, others, all, machines, state, cloud, users,
-    other: list[str] = []  # or a controller's name
-    hold: bool = False  # messages are held and delivered when the cut ends
-    one_way: bool = False  # only what goes from `one` to `other` is cut
-    hang_s: float = 0.0  # of cancel_now: how long machines hang that run those jobs
-    at_once: bool = False  # of late_writes: carried out at once, only the answer is lost
-    for_next: bool = False  # of copies: kept for the first second of the next leader
+    count: int = 1  # number of controllers, of machines, or of jobs that are cancelled
+    zone: str = ""  # zone of the machines, or the zone that is cut off
+    one: list[str] = []  # sides of a network partition: leader, others, all, machines, state,
+    other: list[str] = []  # cloud, users, or a controller's name
+    hold: bool = False  # messages are held and delivered when the partition ends
+    one_way: bool = False  # only messages from `one` to `other` are cut
+    hang_s: float = 0.0  # cancel_now: how long the machines hang that run those jobs
+    at_once: bool = False  # late_writes: the write is executed at once, only its answer is lost
+    for_next: bool = False  # copies: delivered in the first second of the next leader
 
 
 class Stage(msgspec.Struct, forbid_unknown_fields=True):
-    """A step of a pipeline: jobs of a class that wait for those of earlier stages."""
+    """A stage of a pipeline: jobs of one class that wait for the jobs of earlier stages."""
 
-    name: str  # the class
-    jobs: tuple[int, int] = (1, 1)
-    needs: list[int] = []  # earlier stages, by number
+    name: str  # name of the job class
+    jobs: tuple[int, int] = (1, 1)  # bounds of the random number of jobs
+    needs: list[int] = []  # indexes of the earlier stages that it waits for
 
 
 class Pipe(msgspec.Struct, forbid_unknown_fields=True):
-    """A kind of pipelines. The deadline is on the jobs of the last stage."""
+    """A class of similar pipelines. The deadline applies to the jobs of the last stage."""
 
     stages: list[Stage]
-    a_minute: float
-    due_s: float | None = None  # from the submission of the last stage
-    late: float = 0.0  # share whose last stage is submitted when the others are over
-    cancelled: float = 0.0  # share of which one job is cancelled
+    a_minute: float  # pipelines submitted per minute
+    due_s: float | None = None  # deadline after the submission of the last stage
+    late: float = 0.0  # share whose last stage is submitted only when the others are over
+    cancelled: float = 0.0  # share of which the jobs of one random stage are cancelled
 
 
 class Day(msgspec.Struct, forbid_unknown_fields=True):
-    """All of it. After `seconds` nothing is asked any more; then work may end for `calm_s`."""
+    """A whole day: machines, jobs, limits and faults.
+
+    No job is submitted after `seconds`; the remaining jobs then have `calm_s` to end.
+    """
 
     kinds: list[Kind]
     rooms: list[Room]
@@ -124,7 +130,7 @@
     seconds: float = 120.0
     calm_s: float = 240.0
     controllers: int = 3
-    drawn: bool = False  # troubles are drawn as well
+    drawn: bool = False  # random faults occur besides those in `faults`
     workers: Workers = msgspec.field(default_factory=lambda: Workers(12.0, 32.0))
     state: StateLimits = msgspec.field(default_factory=lambda: StateLimits(200.0, 40.0))
     cloud: CloudLimits = msgspec.field(default_factory=lambda: CloudLimits(5.0, 2.0))
@@ -132,14 +138,18 @@
     pipes: list[Pipe] = []
 
 
-# Fields of one kind of faults only.
+# Fields that only one kind of fault may have, with that kind.
 FIELDS_OF_ONE_KIND = {"hang_s": "cancel_now", "at_once": "late_writes", "for_next": "copies"}
 
+# Words for the sides of a network partition, besides controllers' names.
 CUT_ENDPOINTS = ("leader", "others", "all", "machines", "state", "cloud", "users")
 
 
 def _check(day: Day) -> None:
-    """What the types don't say; a region plays days up to the bounds in `constants`."""
+    """Check the conditions that the types do not express, raising SettingsError.
+
+    The upper bounds on machines, tasks, jobs and flaps are in `constants`.
+    """
 
     def known(field: str, value: str, allowed: Any) -> None:
         if value not in allowed:
@@ -226,15 +236,15 @@
 
 
 def controller_names(day: Day) -> list[str]:
-    """The controllers' names."""
+    """Return the controllers' names."""
     return [f"n-{number}" for number in range(day.controllers)]
 
 
 def parse(text: bytes) -> Day:
-    """Decode and check a day; SettingsError names line and field."""
+    """Decode and check a day file; SettingsError names the line and the field."""
     return decode(text, Day, _check)
 
 
 def read(path: Path) -> Day:
-    """As `parse`, from a file that the error names."""
+    """Parse a day file; SettingsError names the file too."""
     return named(path, parse)
--- a/src/chalkgrade/region/versions.py
+++ b/src/chalkgrade/region/versions.py
@@ -1,7 +1,7 @@
-"""Another version of the program beside this one in a region: its true code, from the history.
+"""Loads another version of the program from the git history, to run beside this one.
 
-Its modules are loaded under the same names and then set aside, so that both live in one
-process and share nothing but the simulated world.
+The modules of that version are imported under the usual names and then removed from
+`sys.modules`. Both versions thus run in one process and share only the simulated region.
 """
 
 import importlib
@@ -17,25 +17,29 @@
 
 
 class CommitNotFound(Exception):
-    """The commit is not in the repository's history: nothing can be said of that version."""
+    """The commit is missing from the repository, so that version cannot be loaded."""
 
 
 class Version(NamedTuple):
-    """What the region needs of a version."""
+    """The parts of a loaded version that the simulation uses."""
 
-    commit: str
+    commit: str  # the git commit
     node: Any  # its serving.node.Node
     settings: Any  # its settings.Settings
-    no_answer: type[Exception]
+    no_answer: type[Exception]  # its outside.NoAnswer
 
 
 def production_commit(root: Path) -> str:
-    """The commit that deploy/service.toml names."""
+    """Return the commit that deploy/service.toml names as the production version."""
     return str(tomllib.loads((root / "deploy" / "service.toml").read_text())["production"])
 
 
 def load(root: Path, commit: str, room: Path) -> Version:
-    """A version's code, laid into `room`, a folder that lasts as long as it is used."""
+    """Load the code of a commit.
+
+    `room` is a directory into which the code is extracted. It must exist for as long as the
+    version is used. Raises CommitNotFound if git cannot read the commit.
+    """
     found = subprocess.run(
         ["git", "archive", commit, f"src/{PACKAGE}"], cwd=root, capture_output=True, check=False
     )
@@ -58,4 +62,5 @@
 
 
 def _ours(name: str) -> bool:
+    """Return whether a module belongs to this package."""
     return name == PACKAGE or name.startswith(f"{PACKAGE}.")
