--- a/src/chalkgrade/region/cloud.py
+++ b/src/chalkgrade/region/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud."""
+"""The simulated cloud provider: machine types, rentals and a delayed list of machines."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -8,42 +8,46 @@
 from chalkgrade.region.rules import History
 from chalkgrade.region.worker import WORKER_PORT, Worker
 
-FAST_BOOT_S = (0.3, 2.0)  # s; boots of machines that are up at once
+FAST_BOOT_S = (0.3, 2.0)  # bounds of the boot time while boots are fast
 
 
 class Boot(NamedTuple):
-    """A machine came up."""
+    """The end of a machine's boot."""
 
-    at: float
-    name: str
+    at: float  # virtual time, s
+    name: str  # the machine
     took: float  # s since it was rented
 
 
 class Cloud:
-    """The cloud: rentals, a lagging list, machines that are taken or never come up."""
+    """Rents machines, of which some never boot, and lists them with a delay."""
 
     def __init__(self, world: History) -> None:
         self.world = world
-        self.number = 0
-        self.free_machines = dict(world.ROOMS)
-        self.rental_machines: dict[str, list[str]] = {}
-        self.machines: dict[str, dict[str, Any]] = {}
-        self.history: list[tuple[float, list[dict[str, Any]]]] = []
-        self.workers: dict[str, Worker] = {}  # of machines that are up
-        self.rented: list[tuple[float, list[str]]] = []  # which machines were, and when
-        self.spent = 0.0  # money, for machines that are gone
+        self.number = 0  # machines created so far
+        self.free_machines = dict(world.ROOMS)  # machines that can be rented, by pool
+        self.rental_machines: dict[str, list[str]] = {}  # machines of a rental, by its id
+        self.machines: dict[str, dict[str, Any]] = {}  # machines that are rented, by name
+        self.history: list[tuple[float, list[dict[str, Any]]]] = []  # time, list of machines
+        self.workers: dict[str, Worker] = {}  # workers of the machines that are up
+        self.rented: list[tuple[float, list[str]]] = []  # time of each rental, its machines
+        self.spent = 0.0  # cost of machines that have failed
         self.boots: list[Boot] = []
-        self.fast_boots_until = 0.0  # machines rented until then are up within a second or two
-        self.boot_faults = (0.0, 1.0, 0.0)  # share that never comes, times as slow, until when
+        self.fast_boots_until = 0.0  # machines rented until then boot within FAST_BOOT_S
+        # Share of the machines that never boot, factor of the boot time, end of that fault.
+        self.boot_faults = (0.0, 1.0, 0.0)
 
     def flavors(self) -> dict[str, Any]:
+        """Return the machine types as the cloud answers them."""
         return {"hosttypes": [*self.world.FLAVORS]}
 
     def snapshot(self) -> None:
+        """Record the present list of machines; the last 41 are kept."""
         rows = [dict(m, ageS=self.world.now - m["born"]) for m in self.machines.values()]
         self.history = [*self.history[-40:], (self.world.now, rows)]
 
     async def handle(self, source: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+        """Answer a request with status and body; the list of machines is some seconds old."""
         await asyncio.sleep(0.1)
         if path == "/flavors":
             return 200, self.flavors()
@@ -62,6 +66,7 @@
         }
 
     def _rent(self, data: dict[str, Any]) -> tuple[int, Any]:
+        """Rent up to the wanted number of machines; a repeated rental id gets the same answer."""
         if data["hire"] in self.rental_machines:
             return 200, {"hosts": self.rental_machines[data["hire"]]}
         pool = (data["hosttype"], data["site"], data["standby"])
@@ -82,10 +87,11 @@
         return 200, {"hosts": names}
 
     def _flavor(self, sku: str) -> dict[str, Any]:
+        """Return a machine type by its name."""
         return next(flavor for flavor in self.world.FLAVORS if flavor["sku"] == sku)
 
     def _create_machine(self, pool: tuple[str, str, bool]) -> str:
-        """A machine that has yet to boot."""
+        """Create a machine that has not booted yet and return its name."""
         self.number += 1
         name = f"host-{self.number:06d}"
         self.machines[name] = {
@@ -100,19 +106,20 @@
         return name
 
     def add_running(self, pool: tuple[str, str, bool], count: int) -> None:
-        """Machines that are up when a day begins."""
+        """Create machines that are up at the start of a day."""
         for _ in range(count):
             self.free_machines[pool] -= 1
             self._start_worker(self._create_machine(pool), self._flavor(pool[0]))
 
     def _start_worker(self, name: str, flavor: dict[str, Any]) -> None:
+        """Mark a machine as running and start its worker."""
         self.machines[name]["status"] = "running"
         worker = self.workers[name] = Worker(self.world, self.machines[name], flavor)
         self.world.servers[name] = worker.serve
         worker.start()
 
     def kill(self, name: str) -> None:
-        """A machine stops with all that is on it; the list says so half a minute later."""
+        """Stop a machine and its tasks at once; the cloud reports it as failed 30 s later."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.die()
@@ -120,23 +127,26 @@
             self.world.loop.call_later(30.0, self._failed, name)
 
     def _failed(self, name: str) -> None:
+        """Mark a machine as failed and add its cost to what was spent."""
         if name in self.machines:
             self.spent += self.cost(self.machines[name])
             self.machines[name] |= {"status": "failed", "born": self.world.now}
 
     def cost(self, machine: dict[str, Any]) -> float:
-        """What it has cost until now; at least a minute."""
+        """Return the cost of a machine until now; at least a minute is charged."""
         flavor = self._flavor(machine["hosttype"])
         hourly: float = flavor["spotPrice"] if machine["standby"] else flavor["hourly"]
         if machine["status"] == "failed":
-            return 0.0  # what it cost is counted already
+            return 0.0  # its cost is already in `spent`
         born: float = machine["born"]
         return max(60.0, self.world.now - born) * hourly / 3600
 
     def money(self) -> float:
+        """Return the cost of failed machines and of those that are rented now."""
         return self.spent + sum(self.cost(machine) for machine in self.machines.values())
 
     async def _boot(self, name: str, flavor: dict[str, Any], quick: bool) -> None:
+        """Start a machine's worker after its boot time, unless it was released before."""
         _, factor, until = self.boot_faults
         factor = factor if self.world.now < until else 1.0
         usual = flavor["bootS"] * factor * self.world.rng.uniform(0.2, 1.8)
@@ -147,6 +157,7 @@
             self._start_worker(name, flavor)
 
     def remove(self, name: str) -> None:
+        """Release a machine and stop its worker; unknown names are ignored."""
         machine = self.machines.pop(name, None)
         if machine is None:
             return
--- a/src/chalkgrade/region/day.py
+++ b/src/chalkgrade/region/day.py
@@ -54,7 +54,7 @@
     tasks: tuple[int, int] = (1, 10)
     vcpus: float = 1.0
     memory_gb: float = 2.0
-    run_s: tuple[float, float] = (5.0, 20.0)
+    run_s: tuple[float, float] = (5.0, 20.0)  # expected run time; tasks take 0.5 to 2 times that
     images: int = 3  # number of different images, of which each job uses one
     image_gb: float = 0.5
     savepoint_s: float = 0.0  # interval of the tasks' savepoints; 0: none
@@ -71,7 +71,34 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
-    """A fault at a set time; faults with the same time occur together. Times are in seconds."""
+    """A fault at a set time; faults with the same time occur together. Times are in seconds.
+
+    Kinds that concern controllers:
+    crash: they end and are restarted after `seconds`; flap: they do so repeatedly.
+    roll: all controllers are restarted in turn, `seconds` apart.
+    election: controllers are restarted while a leader is being elected.
+    freeze: they stop running and then continue.
+    isolate: they reach neither the state service nor each other, but their workers.
+
+    Kinds that concern the state service:
+    refuse: it answers 503 to some controllers; outage: to all; slow: it answers late.
+    limits: its limits fall to those of the setting `state.next`.
+    late_writes: transactions get no answer and are executed late.
+
+    Kinds that concern machines and the network:
+    stop: machines end; take: the cloud takes spot machines back, with `seconds` of notice.
+    sick: tasks fail on them; hang: they stop running and then continue.
+    silence: they reach no controller or user, nor the other way round; deaf: only what they
+    send arrives; mute: only what is sent to them arrives.
+    copies: their reports arrive a second time, later.
+    quick_boots: rented machines boot within seconds.
+    cut: a network partition; zone: all machines and controllers of a zone are cut off.
+
+    Kinds that concern users:
+    cancel_now: they cancel running jobs; cancel_at_end: they cancel jobs as their last task ends.
+    odd_requests: they repeat requests, cancel jobs that are over and send invalid requests.
+    close_looks: after each event they ask all controllers within milliseconds.
+    """
 
     at: float  # after the start of the day
     kind: Literal[
@@ -151,7 +178,7 @@
     The upper bounds on machines, tasks, jobs and flaps are in `constants`.
     """
 
-    def known(field: str, value: str, allowed: Any) -> None:
+    def check_allowed(field: str, value: str, allowed: Any) -> None:
         if value not in allowed:
             raise SettingsError(f"{field}: {value!r} is not one of {', '.join(sorted(allowed))}")
 
@@ -168,13 +195,13 @@
         raise SettingsError(f"rooms: at most {constants.DAY_MACHINES} machines, are {machines}")
     names = controller_names(day)
     for number, room in enumerate(day.rooms):
-        known(f"rooms[{number}].kind", room.kind, {kind.name for kind in day.kinds})
-        known(f"rooms[{number}].zone", room.zone, set(day.zones))
+        check_allowed(f"rooms[{number}].kind", room.kind, {kind.name for kind in day.kinds})
+        check_allowed(f"rooms[{number}].zone", room.zone, set(day.zones))
         if not 0 <= room.up <= room.count:
             raise SettingsError(f"rooms[{number}].up: must be 0 to {room.count}, is {room.up}")
     for number, work in enumerate(day.classes):
         for team in work.teams or [""]:
-            known(f"classes[{number}].teams", team, {team.name for team in day.teams})
+            check_allowed(f"classes[{number}].teams", team, {team.name for team in day.teams})
         if not 1 <= work.tasks[0] <= work.tasks[1] <= constants.DAY_TASKS:
             most = constants.DAY_TASKS
             raise SettingsError(f"classes[{number}].tasks: must be two rising counts up to {most}")
@@ -190,13 +217,15 @@
         if not 0 <= work.cancel_s[0] <= work.cancel_s[1] <= 86400:
             raise SettingsError(f"classes[{number}].cancel_s: must be two rising times")
         if work.zone:
-            known(f"classes[{number}].zone", work.zone, set(day.zones))
+            check_allowed(f"classes[{number}].zone", work.zone, set(day.zones))
         if work.shape == "service" and work.stop_after_s is None:
             raise SettingsError(f"classes[{number}].stop_after_s: a service needs an end")
     for number, pipe in enumerate(day.pipes):
         where = f"pipes[{number}]"
         for at, stage in enumerate(pipe.stages):
-            known(f"{where}.stages[{at}].name", stage.name, {work.name for work in day.classes})
+            check_allowed(
+                f"{where}.stages[{at}].name", stage.name, {work.name for work in day.classes}
+            )
             if any(not 0 <= need < at for need in stage.needs):
                 raise SettingsError(f"{where}.stages[{at}].needs: must be earlier stages")
             if not 1 <= stage.jobs[0] <= stage.jobs[1] <= 1000:
@@ -206,17 +235,17 @@
                 raise SettingsError(f"{where}.{field}: must be 0 to 1")
     for number, fault in enumerate(day.faults):
         where = f"faults[{number}]"
-        known(f"{where}.who", fault.who, {"leader", "others", "all", *names})
+        check_allowed(f"{where}.who", fault.who, {"leader", "others", "all", *names})
         for word in (*fault.one, *fault.other):
-            known(f"{where}.one", word, {*CUT_ENDPOINTS, *names})
+            check_allowed(f"{where}.one", word, {*CUT_ENDPOINTS, *names})
         if fault.zone or fault.kind == "zone":
-            known(f"{where}.zone", fault.zone, set(day.zones))
+            check_allowed(f"{where}.zone", fault.zone, set(day.zones))
         if fault.kind == "cut" and not (fault.one and fault.other):
             raise SettingsError(f"{where}.one: a cut needs two sides")
-        for field, least in (("at", 0.0), ("seconds", 0.05), ("count", 1), ("times", 1)):
-            if not getattr(fault, field) >= least:
+        for field, minimum in (("at", 0.0), ("seconds", 0.05), ("count", 1), ("times", 1)):
+            if not getattr(fault, field) >= minimum:
                 raise SettingsError(
-                    f"{where}.{field}: must be {least:g} or more, is {getattr(fault, field):g}"
+                    f"{where}.{field}: must be {minimum:g} or more, is {getattr(fault, field):g}"
                 )
         if fault.kind == "flap" and not 0.1 <= fault.every <= 600:
             raise SettingsError(f"{where}.every: must be 0.1 to 600, is {fault.every:g}")
--- a/src/chalkgrade/region/fleet.py
+++ b/src/chalkgrade/region/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet that plays a day from a file, and what the day came to."""
+"""Simulates a day from a day file and computes its figures."""
 
 import asyncio
 import math
@@ -14,7 +14,7 @@
 
 
 class FleetWorld(World):
-    """A region of a day's size, with its faults at their times."""
+    """A simulated region as a day file describes it, with the faults of the file."""
 
     def __init__(self, loop: VirtualLoop, seed: int, day: Day) -> None:
         self.day = day
@@ -46,14 +46,14 @@
         )
         super().__init__(loop, seed)
         self.store.written[LEADER_KEY] = []
-        self.unsubmitted_jobs = 0  # jobs that pipelines could have had, or have yet to submit
+        self.unsubmitted_jobs = 0  # most jobs that pipelines can have, less those submitted
         for room in day.rooms:
             self.cloud.add_running((room.kind, room.zone, room.spot), room.up)
-        # When faults hit whoever led, and the machines that could be reached then.
+        # Times of faults that hit the leader, and the machines that users could reach then.
         self.leader_failed: list[tuple[float, set[str]]] = []
 
     def job(self, number: int, work: Work) -> dict[str, Any]:
-        """One submission of a class."""
+        """Return the specification of a random job of a class."""
         rng = self.rng
         run_s = rng.uniform(*work.run_s)
         return {
@@ -79,10 +79,13 @@
             "dueS": work.due_s,
         }
 
-    # -- faults at their times ------------------------------------------------------
+    # -- faults ---------------------------------------------------------------------
 
     def controllers(self, who: str, count: int) -> list[str]:
-        """Names for `leader`, `others`, `all` or a name; the leader goes first."""
+        """Return the names meant by `leader`, `others`, `all` or a name.
+
+        If `count` exceeds 1, `leader` means the leader and then others.
+        """
         leaders = self.leaders() or self.members[:1]
         others = [member for member in self.members if member not in leaders]
         if who == "leader":
@@ -92,11 +95,12 @@
         return self.members if who == "all" else [who]
 
     def machines(self, zone: str, count: int) -> list[str]:
+        """Return random machines that are up, of a zone or, if it is empty, of any."""
         names = sorted(n for n, worker in self.workers.items() if not zone or worker.zone == zone)
         return self.rng.sample(names, min(count, len(names)))
 
     def side(self, words: list[str], count: int = 1) -> set[str]:
-        """Who is on a side of a cut; `count`: how many of the others."""
+        """Return the members of one side of a partition; `count` limits the word `others`."""
         out: set[str] = set()
         for word in words:
             if word == "machines":
@@ -108,129 +112,132 @@
         return out
 
     async def apply_fault(self, fault: Fault) -> None:
-        """One fault, from now on."""
+        """Start a fault, and record it if it hits the leader."""
         chosen = self.controllers(fault.who, fault.count)
-        hit, led = set[str](), set(self.leaders())
-        lasts = fault.seconds
+        affected, leaders_before = set[str](), set(self.leaders())
+        seconds = fault.seconds
         if fault.kind == "crash":
-            hit = set(chosen)
+            affected = set(chosen)
             for member in chosen:
-                self.spawn(self.restart(member, lasts))
+                self.spawn(self.restart(member, seconds))
         elif fault.kind == "flap":
-            hit = set(chosen)
+            affected = set(chosen)
             for member in chosen:
-                self.spawn(self.flap(member, fault.times, fault.every, lasts))
+                self.spawn(self.flap(member, fault.times, fault.every, seconds))
         elif fault.kind == "roll":
             for member in self.members:
                 if member in self.leaders():
                     self.leader_failed.append((self.now, set(self.workers)))
                 self.spawn(self.restart(member, 4.0))
-                await asyncio.sleep(lasts)
+                await asyncio.sleep(seconds)
         elif fault.kind == "freeze":
-            hit = set(chosen)
+            affected = set(chosen)
             for member in chosen:
-                self.loop.freeze(member, self.now + lasts)
+                self.loop.freeze(member, self.now + seconds)
         elif fault.kind == "refuse":
-            hit = set(chosen)
-            self.store.unavailable_until |= {member: self.now + lasts for member in chosen}
+            affected = set(chosen)
+            self.store.unavailable_until |= {member: self.now + seconds for member in chosen}
         elif fault.kind == "outage":
-            self.store.outage(lasts)
+            self.store.outage(seconds)
         elif fault.kind == "slow":
-            self.store.slow = (0.075 * fault.count, self.now + lasts)
+            self.store.slow = (0.075 * fault.count, self.now + seconds)
         elif fault.kind == "cut":
             one, other = self.side(fault.one, fault.count), self.side(fault.other, fault.count)
-            hit = (one | other) & set(self.members) if "state" in one | other else set()
-            self.cut(one, other, lasts, fault.hold, fault.one_way)
+            affected = (one | other) & set(self.members) if "state" in one | other else set()
+            self.cut(one, other, seconds, fault.hold, fault.one_way)
         elif fault.kind == "zone":
             inside = {n for n, worker in self.workers.items() if worker.zone == fault.zone}
-            hit = {m for m in self.members if self._settings(m).zone == fault.zone}
-            rest = {*self.members, *self.workers, "state", "cloud", "users"} - inside - hit
-            self.cut(inside | hit, rest, lasts, fault.hold)
+            affected = {m for m in self.members if self._settings(m).zone == fault.zone}
+            rest = {*self.members, *self.workers, "state", "cloud", "users"} - inside - affected
+            self.cut(inside | affected, rest, seconds, fault.hold)
         elif fault.kind == "stop":
             for name in self.machines(fault.zone, fault.count):
                 self.cloud.kill(name)
         elif fault.kind == "silence":
             lost = set(self.machines(fault.zone, fault.count))
-            self.cut(lost, {*self.members, "users"}, lasts, fault.hold)
+            self.cut(lost, {*self.members, "users"}, seconds, fault.hold)
         elif fault.kind == "take":
             for name in self.machines(fault.zone, fault.count):
                 if self.workers[name].machine["standby"]:
-                    self.spawn(self._take(name, lasts))
+                    self.spawn(self._take(name, seconds))
         elif fault.kind == "deaf":
-            self.deafen(set(self.machines(fault.zone, fault.count)), lasts)
+            self.deafen(set(self.machines(fault.zone, fault.count)), seconds)
         elif fault.kind == "mute":
-            self.mute(set(self.machines(fault.zone, fault.count)), lasts)
+            self.mute(set(self.machines(fault.zone, fault.count)), seconds)
         elif fault.kind == "copies" and fault.for_next:
-            self.spawn(self.keep_for_next(lasts, fault.share))
+            self.spawn(self.keep_for_next(seconds, fault.share))
         elif fault.kind == "copies":
-            self.report_copies = (self.now + lasts, fault.share, fault.late)
+            self.report_copies = (self.now + seconds, fault.share, fault.late)
         elif fault.kind == "late_writes" and fault.at_once:
-            self.store.answer_loss = (self.now + lasts, fault.share)
+            self.store.answer_loss = (self.now + seconds, fault.share)
         elif fault.kind == "late_writes":
-            self.store.delayed_commits = (self.now + lasts, fault.share, fault.late)
+            self.store.delayed_commits = (self.now + seconds, fault.share, fault.late)
         elif fault.kind == "cancel_now":
             self.cancel_now(fault.count, fault.hang_s)
         elif fault.kind == "cancel_at_end":
-            self.at_end = (self.now + lasts, fault.share)
+            self.at_end = (self.now + seconds, fault.share)
         elif fault.kind == "odd_requests":
-            self.odd_until = self.now + lasts
+            self.odd_until = self.now + seconds
             self.spawn(self.odd_requests())
         elif fault.kind == "close_looks":
-            self.close_until = self.now + lasts
+            self.close_until = self.now + seconds
         elif fault.kind == "quick_boots":
-            self.cloud.fast_boots_until = self.now + lasts
+            self.cloud.fast_boots_until = self.now + seconds
         elif fault.kind == "hang":
             for name in self.machines(fault.zone, fault.count):
-                self.loop.freeze(name, self.now + lasts)
+                self.loop.freeze(name, self.now + seconds)
         elif fault.kind == "isolate":
-            hit = set(chosen)
+            affected = set(chosen)
             for member in chosen:
-                self.isolate(member, lasts, fault.hold)
+                self.isolate(member, seconds, fault.hold)
         elif fault.kind == "election":
-            hit = led
+            affected = leaders_before
             self.spawn(self.election(fault.times, fault.every))
         elif fault.kind == "limits":
             self.store.lower_limits()
         elif fault.kind == "sick":
             for name in self.machines(fault.zone, fault.count):
                 self.workers[name].sick = True
-        if led & hit:
+        if leaders_before & affected:
             at = self.now
-            await asyncio.sleep(0.01)  # what fails together has failed by then
+            await asyncio.sleep(0.01)  # faults of the same time have started by then
             reached = {name for name in self.workers if self._find_cut(name, "users") is None}
             self.leader_failed.append((at, reached))
 
     async def pipeline(self, pipe: Pipe, first: int) -> None:
-        """Submit one, stage by stage, each as soon as those that it needs are accepted."""
+        """Submit a pipeline stage by stage, each once the jobs that it waits for are accepted.
+
+        The last stage may instead wait until those jobs are over, as the day file says.
+        """
         rng, number = self.rng, first
         kinds = {work.name: work for work in self.day.classes}
-        made: list[list[str]] = []
+        submitted: list[list[str]] = []
         late = rng.random() < pipe.late
-        gone = rng.randrange(len(pipe.stages)) if rng.random() < pipe.cancelled else None
+        cancelled_stage = rng.randrange(len(pipe.stages)) if rng.random() < pipe.cancelled else None
         self.unsubmitted_jobs += sum(stage.jobs[1] for stage in pipe.stages)
         for at, stage in enumerate(pipe.stages):
             last = at == len(pipe.stages) - 1
-            names = [name for need in stage.needs for name in made[need]]
+            names = [name for need in stage.needs for name in submitted[need]]
             done = "over" if last and late else "accepted"
             while not all(self.jobs[name].get(done) for name in names):
                 await asyncio.sleep(0.1)
-            made.append([])
+            submitted.append([])
             for _ in range(rng.randint(*stage.jobs)):
                 spec = self.job(number, kinds[stage.name]) | {"dueS": pipe.due_s if last else None}
                 if names:
                     spec["waitsOn"] = names
                 number += 1
                 self.unsubmitted_jobs -= 1
-                after = rng.uniform(0.0, 30.0) if gone == at else None
-                made[-1].append(spec["nameId"])
+                after = rng.uniform(0.0, 30.0) if cancelled_stage == at else None
+                submitted[-1].append(spec["nameId"])
                 self.spawn(self.user(spec, after))
-            while not all(name in self.jobs for name in made[-1]):
+            while not all(name in self.jobs for name in submitted[-1]):
                 await asyncio.sleep(0.01)
 
-    # -- the day ----------------------------------------------------------------------
+    # -- the whole day ------------------------------------------------------------------
 
     async def play(self) -> None:
-        """From the first boot until all work is over, or the calm time has passed."""
+        """Run the day until all jobs are over or the time for that has passed."""
         day, rng = self.day, self.rng
         for member in self.members:
             self.boot(member)
@@ -267,22 +274,25 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """The least value that is not below a part of all; 0 where there is none."""
+    """Return the smallest value that at least a share `part` of all do not exceed; 0 if none."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(part * len(ordered)) - 1)] if ordered else 0.0
 
 
 def figures(world: FleetWorld, broken: str = "") -> dict[str, Any]:
-    """What a day came to: rules, served, waits in seconds, money, changes of leader."""
-    took = max(1e-9, world.now - BEGAN)
+    """Return the figures of a day: verdict, jobs served, waits in seconds, cost, leaders.
+
+    `broken` is the text of the violated rule, if there is one.
+    """
+    elapsed_s = max(1e-9, world.now - BEGAN)
     waits: dict[str, list[float]] = {}
     for job in world.jobs.values():
         ready = world.ready_at(job) if "first" in job else None
         if ready is not None:
             waits.setdefault(job["spec"]["jobclass"], []).append(job["first"] - ready)
-    missing = world.unserved()
+    unserved = world.unserved()
     return {
-        "verdict": f"BROKEN {broken}" if broken else f"FAILED {missing}" if missing else "ok",
+        "verdict": f"BROKEN {broken}" if broken else f"FAILED {unserved}" if unserved else "ok",
         "broken": int(bool(broken)),
         "jobs": len(world.jobs),
         "unfinished": sum(job["over"] is None for job in world.jobs.values()),
@@ -302,14 +312,14 @@
         "work_lost_s": round(world.lost, 1),
         "lease_kills": world.lease_ends,
         "leaders": len(world.store.written[LEADER_KEY]),
-        "state_changes_s": round(world.store.rev / took, 1),
-        "peer_messages_s": round(world.peer_messages / took, 1),
-        "took_s": round(took, 1),
+        "state_changes_s": round(world.store.rev / elapsed_s, 1),
+        "peer_messages_s": round(world.peer_messages / elapsed_s, 1),
+        "took_s": round(elapsed_s, 1),
     }
 
 
 def play_day(day: Day, seed: int, kind: type[FleetWorld] = FleetWorld) -> tuple[FleetWorld, str]:
-    """Play a day; the world after it, and the rule that broke, if one did."""
+    """Simulate a day; return its world and the text of the violated rule, empty if none."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     world, broken = kind(loop, seed, day), ""
--- a/src/chalkgrade/region/versions.py
+++ b/src/chalkgrade/region/versions.py
@@ -40,14 +40,16 @@
     `room` is a directory into which the code is extracted. It must exist for as long as the
     version is used. Raises CommitNotFound if git cannot read the commit.
     """
-    found = subprocess.run(
+    result = subprocess.run(
         ["git", "archive", commit, f"src/{PACKAGE}"], cwd=root, capture_output=True, check=False
     )
-    if found.returncode:
-        raise CommitNotFound(f"{commit}: {found.stderr.decode(errors='replace').strip()}")
-    with tarfile.open(fileobj=BytesIO(found.stdout)) as packed:
-        packed.extractall(room, filter="data")
-    own = {name: sys.modules.pop(name) for name in list(sys.modules) if _ours(name)}
+    if result.returncode:
+        raise CommitNotFound(f"{commit}: {result.stderr.decode(errors='replace').strip()}")
+    with tarfile.open(fileobj=BytesIO(result.stdout)) as archive:
+        archive.extractall(room, filter="data")
+    current_modules = {
+        name: sys.modules.pop(name) for name in list(sys.modules) if _is_own_module(name)
+    }
     sys.path.insert(0, str(room / "src"))
     try:
         node = importlib.import_module(f"{PACKAGE}.serving.node")
@@ -55,12 +57,12 @@
         outside = importlib.import_module(f"{PACKAGE}.outside")
     finally:
         sys.path.remove(str(room / "src"))
-        for name in [name for name in sys.modules if _ours(name)]:
+        for name in [name for name in sys.modules if _is_own_module(name)]:
             del sys.modules[name]
-        sys.modules.update(own)
+        sys.modules.update(current_modules)
     return Version(commit, node.Node, settings.Settings, outside.NoAnswer)
 
 
-def _ours(name: str) -> bool:
+def _is_own_module(name: str) -> bool:
     """Return whether a module belongs to this package."""
     return name == PACKAGE or name.startswith(f"{PACKAGE}.")
--- a/src/chalkgrade/region/world.py
+++ b/src/chalkgrade/region/world.py
@@ -1,4 +1,4 @@
-"""The whole region: controllers among users, troubles and rules, and the days they play."""
+"""The whole simulated region with its controllers, and functions that run days in it."""
 
 import asyncio
 import contextvars
@@ -22,21 +22,23 @@
 
 
 class _Http:
-    """One node's way out; a crashed node's calls never return."""
+    """HTTP and peer client of one node process; after a crash its calls are cancelled."""
 
     def __init__(
         self, world: "World", member: str, epoch: int, lost: type[Exception] = NoAnswer
     ) -> None:
-        """`lost`: what the node's own version calls a call without an answer."""
+        """`lost`: the exception of the node's own version for a call without an answer."""
         self.world, self.member, self.epoch, self.lost = world, member, epoch, lost
 
     def _check(self) -> None:
+        """Cancel the calling task if the process has crashed since."""
         if self.world.epochs[self.member] != self.epoch:
             raise asyncio.CancelledError
 
     async def call(
         self, addr: str, method: str, path: str, body: bytes | None, timeout: float
     ) -> Reply:
+        """Send a request to the service or worker at an address."""
         self._check()
         host, _, port = addr.rpartition(":")
         kind = {"1": "state", "2": "cloud", str(WORKER_PORT): host}.get(port, "licences")
@@ -51,6 +53,7 @@
         return Reply(status, msgspec.json.encode(answer))
 
     async def ask(self, member: str, message: dict[str, Any], timeout: float) -> dict[str, Any]:
+        """Send a message to another controller and return its answer."""
         self._check()
         self.world.peer_messages += 1
         raw = msgspec.json.decode(msgspec.json.encode(message))
@@ -65,20 +68,20 @@
 
 
 class World(Troubles):
-    """Everything, and the program under test in its midst."""
+    """The simulated region together with the controllers, which run the program under test."""
 
     def __init__(self, loop: VirtualLoop, seed: int) -> None:
         super().__init__(loop, seed)
         self.nodes: dict[str, Node | None] = dict.fromkeys(self.members)
-        self.versions: dict[str, Version] = {}  # controllers that start as another version
+        self.versions: dict[str, Version] = {}  # other versions of the program, by controller
         self.store.checks_conditions = lambda source: source not in self.versions
-        self.epochs = dict.fromkeys(self.members, 0)
-        self.contexts: dict[str, contextvars.Context] = {}
-        self.stopped_nodes: list[Node] = []  # those that have ended, for their counts
-        self.peer_messages = 0
+        self.epochs = dict.fromkeys(self.members, 0)  # number of crashes, by controller
+        self.contexts: dict[str, contextvars.Context] = {}  # context of each controller's tasks
+        self.stopped_nodes: list[Node] = []  # ended processes, for their counters
+        self.peer_messages = 0  # requests between controllers
         self.idle = IdleRoom(self)
-        self.health_changes: dict[str, int] = {}  # suspicions and verdicts, of all controllers
-        self.false_verdicts = 0  # of controllers that were up, reached and registered
+        self.health_changes: dict[str, int] = {}  # number of changes to each health state
+        self.false_verdicts = 0  # verdicts on controllers that were registered, up and reached
         self.servers["state"] = lambda *request: self.store.handle(*request)
         self.servers["cloud"] = lambda *request: self.cloud.handle(*request)
         for member in self.members:
@@ -87,14 +90,17 @@
     # -- controllers ------------------------------------------------------------------
 
     def up(self, target: str) -> bool:
+        """Return whether a controller or service accepts connections."""
         if target in self.epochs:
             return self.nodes[target] is not None
         return target in self.servers
 
     def leaders(self) -> list[str]:
+        """Return the controllers that consider themselves leader."""
         return [m for m, node in self.nodes.items() if node is not None and node.leadership.token]
 
     def standing(self, jobclass: str) -> str:
+        """Return the leader's reasons why jobs of a class wait, for error messages."""
         for member in self.leaders():
             node = self.nodes[member]
             term = node.term if node is not None else None
@@ -106,20 +112,23 @@
         return "nobody leads"
 
     def boot(self, member: str, home: str | None = None) -> None:
-        """Start a process of that name, on the controller's own machine if not said."""
+        """Start a controller's process.
+
+        home: name of the machine that it runs on; by default the controller's own.
+        """
         home = f"home of {member}" if home is None else home
         clock = Clock(self.loop, 1 + self.rng.uniform(-5e-4, 5e-4))
         version = self.versions.get(member)
-        made = Node if version is None else version.node
+        node_class = Node if version is None else version.node
         lost = NoAnswer if version is None else version.no_answer
         http = _Http(self, member, self.epochs[member], lost)
         settings = self._settings(member, Settings if version is None else version.settings)
         settings.parts = self.parts
-        node = made(settings, http, http, clock, random.Random(self.rng.random()), home)
-        plain = node.views.changed
+        node = node_class(settings, http, http, clock, random.Random(self.rng.random()), home)
+        original_changed = node.views.changed
 
         def changed(subject: str, old: str, new: str) -> None:
-            plain(subject, old, new)
+            original_changed(subject, old, new)
             self.health_changes[new] = self.health_changes.get(new, 0) + 1
             if old == "suspect" and new == "alive":
                 self.health_changes["refuted"] = self.health_changes.get("refuted", 0) + 1
@@ -134,17 +143,18 @@
         self.contexts[member].run(node.start)
 
     def crash(self, member: str) -> None:
+        """End a controller's process; does nothing if it is not running."""
         node = self.nodes[member]
         if node is None:
             return
         self.epochs[member] += 1
-        self.loop.thaw(member)  # the next process runs, however long this one would have stood
+        self.loop.thaw(member)  # the next process must not inherit the freeze
         self.stopped_nodes.append(node)
         node.stop()
         self.nodes[member] = None
 
     async def run_as(self, member: str, work: Awaitable[Any]) -> Any:
-        """Have a controller do something, as part of it: it waits while that is silent."""
+        """Run a coroutine in a controller's context, so that it waits while that is frozen."""
         task: asyncio.Task[Any] = self.loop.create_task(
             work,  # type: ignore[arg-type]
             context=self.contexts[member],
@@ -152,6 +162,8 @@
         return await task
 
     def _serve(self, member: str) -> Callable[..., Awaitable[tuple[int, Any] | None]]:
+        """Return the request handler of a controller; no answer if it crashes meanwhile."""
+
         async def serve(source: str, method: str, path: str, body: Any) -> tuple[int, Any] | None:
             node, epoch = self.nodes[member], self.epochs[member]
             if node is None:
@@ -168,6 +180,7 @@
         return serve
 
     async def sweep(self) -> None:
+        """Every 0.25 s, expire leases, record the cloud's list and check the periodic rules."""
         while True:
             self.store.expire()
             self.cloud.snapshot()
@@ -179,6 +192,7 @@
 
 
 async def _day(world: World, seconds: float, jobs: int, troubled: bool, calm: float) -> None:
+    """Boot the controllers, submit random jobs and wait for their end."""
     for member in world.members:
         world.boot(member)
     world.spawn(world.sweep())
@@ -200,14 +214,19 @@
     await wait_for_jobs(world, begin + seconds, begin + seconds + calm, lambda: jobs)
 
 
-async def wait_for_jobs(world: World, least: float, most: float, jobs: Callable[[], int]) -> None:
-    """Until all jobs are over, within two times; raises what broke."""
-    while world.now < most:
+async def wait_for_jobs(
+    world: World, earliest_end: float, latest_end: float, jobs: Callable[[], int]
+) -> None:
+    """Wait until all jobs are over and `earliest_end` has passed, at most until `latest_end`.
+
+    `jobs` returns the number of jobs to wait for. Raises the first error of a background task.
+    """
+    while world.now < latest_end:
         await asyncio.sleep(0.5)
         if world.failure is not None:
             raise world.failure
         if (
-            world.now > least
+            world.now > earliest_end
             and len(world.jobs) == jobs()
             and all(job["over"] for job in world.jobs.values())
         ):
@@ -215,7 +234,7 @@
 
 
 def close(world: World) -> None:
-    """End all that a world has started."""
+    """Stop the controllers, cancel all tasks and close the event loop of a world."""
     loop = world.loop
     for member in world.members:
         world.crash(member)
@@ -236,7 +255,12 @@
     prepare: Callable[[World], None] | None = None,
     kind: type[World] = World,
 ) -> World:
-    """Play one day; raises Broken when a rule is broken."""
+    """Simulate a day of random jobs and return its world; raises Broken if a rule is violated.
+
+    seconds: random faults occur for so long if `troubled`, and jobs are submitted in 80% of it.
+    calm: time in seconds that the jobs then have to end. prepare: called before the start.
+    kind: class of the world.
+    """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     world = kind(loop, seed)
@@ -256,9 +280,13 @@
     prepare: Callable[[World], None] | None = None,
     kind: type[World] = World,
 ) -> None:
-    """Play one story in a world whose controllers are up."""
+    """Run a test's coroutine in a world whose controllers have been up for 4 s.
+
+    loss: share of the messages that are delayed. prepare: called before the controllers boot.
+    kind: class of the world. Raises the first error of a background task.
+    """
 
-    async def begun(world: World) -> None:
+    async def run_story(world: World) -> None:
         world.loss = loss
         for member in world.members:
             world.boot(member)
@@ -274,7 +302,7 @@
     if prepare is not None:
         prepare(world)
     try:
-        loop.run_until_complete(begun(world))
+        loop.run_until_complete(run_story(world))
     finally:
         close(world)
 
