--- a/src/chalkgrade/experiments/failover.py
+++ b/src/chalkgrade/experiments/failover.py
@@ -14,7 +14,7 @@
 from chalkgrade.membership.leader_health import WORKERS
 from chalkgrade.region.day import Day, Fault, Kind, Room, Work
 from chalkgrade.region.fleet import FleetWorld, play_day
-from chalkgrade.region.rules import SERVED_LEAST
+from chalkgrade.region.rules import MIN_SERVED_SHARE
 from chalkgrade.region.world import World, tell
 from chalkgrade.settings import CloudLimits, StateLimits, Team, Workers
 from chalkgrade.state.leadership import LEADER_KEY
@@ -114,26 +114,33 @@
     out.add("lost", sum(job["over"] is None for job in world.jobs.values()))
     served = [*world.served("jobclass").values(), *world.served("owner").values()]
     out.low("served_least", min(served, default=0.0))
-    out.add("failed", min(served, default=0.0) < SERVED_LEAST)
+    out.add("failed", min(served, default=0.0) < MIN_SERVED_SHARE)
     out.add("takeovers", len(leads) - 1)
-    tokens = sorted(world.obeyed)
+    tokens = sorted(world.token_adoptions)
     for failed, reached in world.leader_failed:
         lead = next((at for at in leads if at > failed), None)
         if lead is None:
             continue
         out.time("lead_s", lead - failed)
-        token = next((t for t in tokens if min(world.obeyed[t].values()) >= lead), None)
+        token = next((t for t in tokens if min(world.token_adoptions[t].values()) >= lead), None)
         start = next((at for at, baton in world.starts if token and baton >= token), None)
         if start is not None and start > lead:
             out.time("start_s", start - failed)
         if token is not None:
-            came = sorted(at for name, at in world.obeyed[token].items() if name in reached)
+            came = sorted(
+                at for name, at in world.token_adoptions[token].items() if name in reached
+            )
             if len(came) >= 0.95 * len(reached):
                 out.time("machines_s", came[math.ceil(0.95 * len(reached)) - 1] - failed)
         after = [names for at, names in world.cloud.rented if lead <= at < lead + AFTER_S]
         out.add("rents_after", sum(map(len, after)))
-        out.add("needless_rents", sum(name not in world.used for names in after for name in names))
-        out.add("needless_stops", sum(lead <= at < lead + AFTER_S for at in world.stops))
+        out.add(
+            "needless_rents",
+            sum(name not in world.first_used_at for names in after for name in names),
+        )
+        out.add(
+            "needless_stops", sum(lead <= at < lead + AFTER_S for at in world.unrequested_stops)
+        )
     out.add("lease_kills", world.lease_ends)
     out.add("peer_messages", world.peer_messages)
     out.add("seconds", world.now - 1000.0)
--- a/src/chalkgrade/experiments/gap.py
+++ b/src/chalkgrade/experiments/gap.py
@@ -105,7 +105,7 @@
     world, broken = play_day(made, seed, Meet)
     return {
         "broken": int(bool(broken)),
-        "work_lost_s": round(world.lost, 1),
+        "work_lost_s": round(world.lost_work_s, 1),
         "lease_kills": world.lease_ends,
     }
 
--- a/src/chalkgrade/experiments/licences.py
+++ b/src/chalkgrade/experiments/licences.py
@@ -16,7 +16,7 @@
 from chalkgrade.machines.fleet import Fleet, Report
 from chalkgrade.record.jobs import Job, JobSpec, JobValue
 from chalkgrade.record.oplog import OpLog
-from chalkgrade.region.licences import LicenceServer, Tool
+from chalkgrade.region.licences import LicenceServer, LicensedTool
 from chalkgrade.region.loop import HandClock, VirtualLoop
 from chalkgrade.region.world import World, close
 from chalkgrade.settings import (
@@ -42,9 +42,9 @@
         """Licences on or off; the tool counts seats either way."""
         self.licences = LicenceServer(self, {"ocr": (SEATS, TTL_S)})
         self.servers["licences"] = self.licences.handle
-        self.tool = Tool(self, {"ocr": SEATS})
-        self.tool.server = self.licences
-        self.tool.needs = {"scan": {"ocr": 1}, "rebuild": {"ocr": 1}}
+        self.licensed_tool = LicensedTool(self, {"ocr": SEATS})
+        self.licensed_tool.server = self.licences
+        self.licensed_tool.needs = {"scan": {"ocr": 1}, "rebuild": {"ocr": 1}}
         self.people = people
         self.waits = HdrHistogram(1, 3_600_000, 3)  # ms from an urgent submission to its start
         if on:
@@ -65,16 +65,16 @@
 
     def fault(self, kind: str) -> None:
         rng, server, now = self.rng, self.licences, self.now
-        assert server is not None and self.tool is not None
+        assert server is not None and self.licensed_tool is not None
         lasts = rng.uniform(3.0, 20.0)
         if kind == "down":
             server.down_until = now + lasts
         elif kind == "slow":
             server.slow_until = now + lasts
         elif kind == "mad":
-            server.mad_until = now + lasts
+            server.nonsense_until = now + lasts
         elif kind == "forget":
-            server.forget()
+            server.restart()
         elif kind == "stale":
             server.stale_until = now + lasts
         elif kind == "fewer":
@@ -82,18 +82,18 @@
             server.pools["ocr"].seats = rng.choice([1, 2])
             self.loop.call_later(lasts, setattr, server.pools["ocr"], "seats", SEATS)
         elif kind == "crash":
-            self.trouble(0, lasts)
+            self.start_trouble(0, lasts)
         elif kind == "restart":
-            self.trouble(1, lasts)
+            self.start_trouble(1, lasts)
         elif kind == "cut":
-            self.trouble(4, lasts)
+            self.start_trouble(4, lasts)
         elif kind == "take":
-            self.trouble(8, lasts)
+            self.start_trouble(8, lasts)
 
 
 async def _day(world: LicenceWorld, faults: bool) -> None:
-    assert world.licences is not None and world.tool is not None
-    tool, server = world.tool, world.licences
+    assert world.licences is not None and world.licensed_tool is not None
+    tool, server = world.licensed_tool, world.licences
     for member in world.members:
         world.boot(member)
     world.spawn(world.sweep())
@@ -115,7 +115,7 @@
         urgent = number % 10 == 0
         world.spawn(one(number, 20.0 + 2.0 * number if urgent else number * 0.1, urgent))
     if world.people:
-        world.spawn(tool.come_and_go(server, "ocr", begin + DAY_S))
+        world.spawn(tool.simulate_people(server, "ocr", begin + DAY_S))
     if faults:
 
         async def troubles() -> None:
@@ -132,7 +132,7 @@
         if not warm and any(tool.running["ocr"]):
             warm, tool.since = True, world.now  # seats idle until the first machine is up
         if warm:
-            tool.tick()
+            tool.count_seat_time()
         if len(world.jobs) == JOBS and all(job["over"] for job in world.jobs.values()):
             return
 
@@ -152,7 +152,7 @@
 
 def figures(world: LicenceWorld) -> dict[str, float]:
     """What a day came to."""
-    tool = world.tool
+    tool = world.licensed_tool
     assert tool is not None
     done = sum(job["over"] == "done" for job in world.jobs.values())
     return {
@@ -160,8 +160,10 @@
         "jobs": JOBS,
         "peak_held": tool.peak["ocr"],
         "done": done,
-        "failed_for_want_of_seat": tool.unseated,
-        "utilisation": round(tool.busy["ocr"] / tool.there["ocr"], 3) if tool.there["ocr"] else 0.0,
+        "failed_for_want_of_seat": tool.unlicensed_failures,
+        "utilisation": round(tool.used_seat_s["ocr"] / tool.available_seat_s["ocr"], 3)
+        if tool.available_seat_s["ocr"]
+        else 0.0,
         "urgent_wait_s": round(world.waits.get_value_at_percentile(95) / 1000, 1),
         "machines_rented": world.cloud.number,
         "took_s": round(world.now - 1000.0, 1),
--- a/src/chalkgrade/experiments/meetings.py
+++ b/src/chalkgrade/experiments/meetings.py
@@ -14,7 +14,7 @@
 from chalkgrade.experiments.met import Meet, Meeting
 from chalkgrade.region.day import Day, Fault, Kind, Pipe, Room, Stage, Work
 from chalkgrade.region.fleet import percentile, play_day
-from chalkgrade.region.rules import BEGAN
+from chalkgrade.region.rules import START_TIME_S
 from chalkgrade.settings import CloudLimits, StateLimits, Team, Workers
 
 ZONES = ["a", "b", "c"]
@@ -157,8 +157,8 @@
     end = at + 25.0
 
     def came(w: Meet) -> bool:
-        boots = [b for b in w.cloud.boots if at <= b.at - BEGAN <= end and b.took <= QUICK_S]
-        quick = any(w.used.get(b.name, 1e9) <= b.at + AT_ONCE_S for b in boots)
+        boots = [b for b in w.cloud.boots if at <= b.at - START_TIME_S <= end and b.took <= QUICK_S]
+        quick = any(w.first_used_at.get(b.name, 1e9) <= b.at + AT_ONCE_S for b in boots)
         return quick and bool(w.led(at, end))
 
     def change(day: Day) -> None:
@@ -302,7 +302,7 @@
         )  # fmt: skip
 
     def came(w: Meet) -> bool:
-        return sum(w.store.answers_lost.values()) > 10 and w.looked > 10
+        return sum(w.store.answers_lost.values()) > 10 and w.close_checks > 10
 
     return Meeting("unanswered", faults, at, at + lasts, came, change)
 
@@ -371,7 +371,13 @@
     """Users ask everywhere, at once, after each acceptance, end and cancellation; some cancel."""
     lasts = rng.uniform(25.0, 45.0)
     faults = [fault(at, "close_looks", lasts)]
-    return Meeting("watched", faults, at, at + lasts, lambda w: w.looked >= 10 and w.looked_off > 0)
+    return Meeting(
+        "watched",
+        faults,
+        at,
+        at + lasts,
+        lambda w: w.close_checks >= 10 and w.close_check_cancellations > 0,
+    )
 
 
 def ten(rng: random.Random, at: float) -> Meeting:
@@ -532,7 +538,7 @@
 def figures(world: Meet, broken: str, chosen: Sequence[Meeting]) -> dict[str, Any]:
     lost = [job for job in world.jobs.values() if job.get("accepted") and job["over"] is None]
     served = [*world.served("jobclass").values(), *world.served("owner").values()]
-    begins = world.largest_begin().values()
+    begins = world.largest_start_delays().values()
     came = {meeting.name: int(meeting.came(world)) for meeting in chosen}
     rule = broken.partition(":")[0]
     return {
@@ -543,15 +549,15 @@
         "missing": " ".join(name for name, found in came.items() if not found),
         "meetings": " ".join(came),
         "came": came,
-        "silent_s_max": round(world.silent_most, 2),
-        "idle_room_s_max": round(world.idle.most, 1),
-        "gone_s_max": round(world.gone_most, 2),
+        "silent_s_max": round(world.longest_silence_s, 2),
+        "idle_room_s_max": round(world.idle.longest_wait_s, 1),
+        "gone_s_max": round(world.max_stop_delay_s, 2),
         "starts_after_cancel": world.starts_after_cancel,
         "served_least": round(min(served, default=1.0), 3),
         "largest_begin_s_max": round(max(begins, default=0.0), 1),
         "went_back": int(rule == "went_back"),
         "over_limit": int(rule == "quota"),
-        "work_lost_s": round(world.lost, 1),
+        "work_lost_s": round(world.lost_work_s, 1),
         "late_writes_applied": world.store.late_applied,
         "late_writes_refused": world.store.late_refused,
         "reports_late": len(world.copied),
--- a/src/chalkgrade/experiments/met.py
+++ b/src/chalkgrade/experiments/met.py
@@ -12,7 +12,7 @@
 from chalkgrade.experiments.troubles import Watched
 from chalkgrade.region.day import Day, Fault
 from chalkgrade.region.loop import VirtualLoop
-from chalkgrade.region.rules import BEGAN
+from chalkgrade.region.rules import START_TIME_S
 from chalkgrade.state.leadership import LEADER_KEY
 
 GRAIN_S = 0.001  # s; what a time may lose when it is counted from the beginning
@@ -79,7 +79,7 @@
 
     @property
     def at(self) -> float:
-        return self.now - BEGAN
+        return self.now - START_TIME_S
 
     # -- what is kept ------------------------------------------------------------------
 
@@ -95,7 +95,9 @@
             if len(written) > seen:
                 seen = len(written)
                 self.changes.append(
-                    Change(written[-1] - BEGAN, self.full(), frozenset(self.unreached_teams()))
+                    Change(
+                        written[-1] - START_TIME_S, self.full(), frozenset(self.unreached_teams())
+                    )
                 )
             if not any(self.up(member) for member in self.members):
                 self.nobody.append(self.at)
@@ -109,7 +111,7 @@
 
     def full(self) -> frozenset[str]:
         """Teams that are at their limit."""
-        used = {name: self._used.get(name, 0.0) for name in self.limited()}
+        used = {name: self._team_cpus.get(name, 0.0) for name in self.limited()}
         return frozenset(n for n, cpus in used.items() if cpus >= FULL * self.limit(n))
 
     def unreached(self, name: str) -> bool:
@@ -166,17 +168,17 @@
         if fault.kind not in MACHINES:
             await super().fault(fault)
 
-    def heard(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
+    def record_status(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
         before = self.jobs[name]["aborted"]
-        super().heard(name, answer, asked)
+        super().record_status(name, answer, asked)
         if before is None and self.jobs[name]["aborted"] is not None:
-            self.told.append(Told(self.at, name, len(self.of_job(name))))
+            self.told.append(Told(self.at, name, len(self.present_of_job(name))))
 
     async def abort(self, name: str, member: str = "") -> tuple[int, Any] | None:
         job = self.jobs[name]
         if "first_asked" not in job:
             job["first_asked"] = self.now
-            there = self.of_job(name)
+            there = self.present_of_job(name)
             unreached = sum(self.unreached(worker.name) for worker, _ in there)
             limited = self.limited()
             full = bool(limited) and len(limited) == len(self._teams) and self.full() == limited
@@ -194,18 +196,18 @@
         await super()._copy(source, method, path, body, late)
         self.copied.append(self.at)
 
-    async def give(self, source: str, member: str, body: Any) -> None:
-        await super().give(source, member, body)
+    async def deliver_old_report(self, source: str, member: str, body: Any) -> None:
+        await super().deliver_old_report(source, member, body)
         self.given_at.append(self.at)
 
     def held_back(self, source: str, target: str, sent: float) -> None:
-        self.held_reports.append((sent - BEGAN, self.at, target in self.leaders()))
+        self.held_reports.append((sent - START_TIME_S, self.at, target in self.leaders()))
 
     # -- what was seen ---------------------------------------------------------------
 
     def led(self, begin: float, end: float) -> list[float]:
         """When the leader key was written within a time."""
-        times = (at - BEGAN for at in self.store.written[LEADER_KEY])
+        times = (at - START_TIME_S for at in self.store.written[LEADER_KEY])
         return [at for at in times if begin - GRAIN_S <= at <= end]
 
     def cancelled(self, begin: float, end: float) -> bool:
--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -89,9 +89,9 @@
         lasts = self.rng.uniform(2.0, 12.0)
         plain = {"crash": 0, "restart": 1, "outage": 2, "refuse": 3, "cut": 4, "take": 8}
         if kind in plain:
-            self.trouble(plain[kind], lasts)
+            self.start_trouble(plain[kind], lasts)
         elif kind == "freeze":
-            self.trouble(11, lasts / 3)
+            self.start_trouble(11, lasts / 3)
 
 
 async def _day(world: MoveWorld, faults: bool) -> None:
@@ -216,8 +216,8 @@
         "moved": on.moved,
         "record_writes": sum(row.get("write") == part.MOVES_KEY for _, row in on.store.log),
         "outcomes": on.outcomes,
-        "work_lost_s": round(on.lost, 1),
-        "work_lost_s_without": round(off.lost, 1),
+        "work_lost_s": round(on.lost_work_s, 1),
+        "work_lost_s_without": round(off.lost_work_s, 1),
         "finished_once": sum(task in on.done for task in tasks),
         "lost": sum(task not in on.done for task in tasks),
         "duplicated": on.twice,
--- a/src/chalkgrade/experiments/troubles.py
+++ b/src/chalkgrade/experiments/troubles.py
@@ -154,11 +154,11 @@
     assert isinstance(world, Watched)
     lost = [job for job in world.jobs.values() if job.get("accepted") and job["over"] is None]
     served = [*world.served("jobclass").values(), *world.served("owner").values()]
-    begins = world.largest_begin().values()
+    begins = world.largest_start_delays().values()
     return {
         "broken": int(bool(broken)),
         "lost": len(lost),
-        "silent_s_max": round(world.silent_most, 2),
+        "silent_s_max": round(world.longest_silence_s, 2),
         "largest_begin_s_max": round(max(begins, default=0.0), 1),
         "served_least": round(min(served, default=1.0), 3),
         "one_way_found_s_p95": round(percentile(world.found, 0.95), 2),
--- a/src/chalkgrade/region/askers.py
+++ b/src/chalkgrade/region/adversarial_users.py
@@ -6,76 +6,81 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.users import Users
 
-NOW_S = 0.2  # s; within which users call off many jobs
-LONG_S = 5.0  # s of work that a task has left at least, of a job that has long to go
-HANG_MOST = 8  # machines that hang while their jobs are called off
-END_S = 0.05  # s; within which a job is called off after its last task ended
-CLOSE_S = 0.02  # s; within which all controllers are asked
-CLOSE_ROUNDS = 3  # questions to each of them at one event
-CANCEL_PART = 0.1  # of those who look closely cancel at once
-ODD_S = 0.3  # s; between two odd requests, on average
-ODD_FROM = 700_000  # numbers of jobs that can't be accepted
+CANCEL_WITHIN_S = 0.2  # s; within which users call off many jobs
+MIN_REMAINING_S = 5.0  # s of work that a task has left at least, of a job that has long to go
+MAX_HANGING_MACHINES = 8  # machines that hang while their jobs are called off
+CANCEL_AFTER_END_S = 0.05  # s; within which a job is called off after its last task ended
+CLOSE_CHECK_S = 0.02  # s; within which all controllers are asked
+QUERIES_PER_CONTROLLER = 3  # questions to each of them at one event
+CLOSE_CANCEL_SHARE = 0.1  # of those who look closely cancel at once
+ODD_REQUEST_INTERVAL_S = 0.3  # s; between two odd requests, on average
+INVALID_JOB_NUMBER = 700_000  # numbers of jobs that can't be accepted
 # What a submission must have: the other fields may be null, so they may be left out.
-NEEDED = (
+REQUIRED_FIELDS = (
     "nameId", "jobclass", "owner", "shape", "urgency", "tasks", "vcpus", "gpus", "memoryGb",
     "bundle", "pullGb", "oneZone", "spread", "standby", "expectedS", "savepointS", "flushS",
 )  # fmt: skip
 
 
-SIZES = ("vcpus", "gpus", "memoryGb")
+RESOURCE_FIELDS = ("vcpus", "gpus", "memoryGb")
 
 
-class Askers(Users):
+class AdversarialUsers(Users):
     """What users do in the days' troubles; every answer is checked as others are."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.at_end = (0.0, 0.0)  # until when jobs are called off at their end, what share
-        self.odd_until = self.close_until = 0.0
-        self.odd = 0  # number of the last job that can't be accepted
-        self.odd_told: dict[str, int] = {}  # what odd requests were answered, by what was odd
-        self.called_off = 0  # jobs that a trouble's users called off
-        self.looked = 0  # events that were looked at closely
-        self.looked_off = 0  # jobs that were called off by who looked
+        self.cancelling_at_end = (
+            0.0,
+            0.0,
+        )  # until when jobs are called off at their end, what share
+        self.odd_requests_until = self.close_checks_until = 0.0
+        self.invalid_submissions = 0  # number of the last job that can't be accepted
+        self.invalid_refusals: dict[
+            str, int
+        ] = {}  # what odd requests were answered, by what was odd
+        self.trouble_cancellations = 0  # jobs that a trouble's users called off
+        self.close_checks = 0  # events that were looked at closely
+        self.close_check_cancellations = 0  # jobs that were called off by who looked
 
     # -- cancellations at the worst moment ------------------------------------------
 
-    def left_s(self, name: str) -> float:
+    def max_remaining_s(self, name: str) -> float:
         """The longest that a task of a job has left, of those that run; s."""
-        return max((self._left(task) for _, task in self.of_job(name)), default=0.0)
+        return max((self._remaining_s(task) for _, task in self.present_of_job(name)), default=0.0)
 
-    def _left(self, task: Any) -> float:
+    def _remaining_s(self, task: Any) -> float:
         if task.status != "running":
             return 0.0
         if task.spec["shape"] == "service":
             return float("inf")
-        return float(self.runs[task.name] - task.base - (self.now - task.began))
+        return float(self.task_run_s[task.name] - task.saved_work_s - (self.now - task.began))
 
-    def cancel_now(self, count: int, hang_s: float) -> None:
+    def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Users call off jobs that run and have long to go; some of their machines hang."""
         jobs = [
             name
             for name, job in self.jobs.items()
             if job["accepted"] and job["over"] is None and not job.get("asked")
         ]
-        long = [name for name in jobs if self.left_s(name) >= LONG_S]
+        long = [name for name in jobs if self.max_remaining_s(name) >= MIN_REMAINING_S]
         chosen = self.rng.sample(long, min(count, len(long)))
         if hang_s:
-            hosts = sorted({host.name for name in chosen for host, _ in self.of_job(name)})
-            for host in self.rng.sample(hosts, min(HANG_MOST, len(hosts))):
+            hosts = sorted({host.name for name in chosen for host, _ in self.present_of_job(name)})
+            for host in self.rng.sample(hosts, min(MAX_HANGING_MACHINES, len(hosts))):
                 until = max(self.now + hang_s, self.loop.frozen.get(host, 0.0))
                 self.loop.freeze(host, until)
         for name in chosen:
-            self.spawn(self._call_off_after(name, self.rng.uniform(0.0, NOW_S)))
+            self.spawn(self._cancel_after(name, self.rng.uniform(0.0, CANCEL_WITHIN_S)))
 
-    async def _call_off_after(self, name: str, after: float) -> None:
-        self.called_off += 1
+    async def _cancel_after(self, name: str, after: float) -> None:
+        self.trouble_cancellations += 1
         await asyncio.sleep(after)
-        await self.call_off(name)
+        await self.cancel_until_over(name)
 
-    def ended(self, name: str) -> None:
-        super().ended(name)
-        until, share = self.at_end
+    def on_job_completed(self, name: str) -> None:
+        super().on_job_completed(name)
+        until, share = self.cancelling_at_end
         job = self.jobs[name]
         if (
             self.now < until
@@ -83,68 +88,68 @@
             and not job.get("asked")
             and self.rng.random() < share
         ):
-            self.spawn(self._call_off_after(name, self.rng.uniform(0.0, END_S)))
-        self.close_look(name)
+            self.spawn(self._cancel_after(name, self.rng.uniform(0.0, CANCEL_AFTER_END_S)))
+        self.on_status_change(name)
 
-    def heard(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
+    def record_status(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
         before = self.jobs[name]["over"]
-        super().heard(name, answer, asked)
+        super().record_status(name, answer, asked)
         if before is None and self.jobs[name]["over"] is not None:
-            self.close_look(name)
+            self.on_status_change(name)
 
     # -- close looks ------------------------------------------------------------------
 
-    def close_look(self, name: str) -> None:
+    def on_status_change(self, name: str) -> None:
         """Ask all controllers within milliseconds, and submit the job again; some cancel."""
-        if self.now >= self.close_until:
+        if self.now >= self.close_checks_until:
             return
-        self.looked += 1
+        self.close_checks += 1
         for member in self.members:
-            self.spawn(self._look(name, member))
-        self.spawn(self._repeat(name))
+            self.spawn(self._query_closely(name, member))
+        self.spawn(self._resubmit(name))
         job = self.jobs[name]
-        if job["over"] is None and not job.get("asked") and self.rng.random() < CANCEL_PART:
-            self.looked_off += 1
-            self.spawn(self._call_off_after(name, self.rng.uniform(0.0, CLOSE_S)))
+        if job["over"] is None and not job.get("asked") and self.rng.random() < CLOSE_CANCEL_SHARE:
+            self.close_check_cancellations += 1
+            self.spawn(self._cancel_after(name, self.rng.uniform(0.0, CLOSE_CHECK_S)))
 
-    async def _look(self, name: str, member: str) -> None:
-        for _ in range(CLOSE_ROUNDS):
-            await asyncio.sleep(self.rng.uniform(0.0, CLOSE_S))
+    async def _query_closely(self, name: str, member: str) -> None:
+        for _ in range(QUERIES_PER_CONTROLLER):
+            await asyncio.sleep(self.rng.uniform(0.0, CLOSE_CHECK_S))
             if not self.up(member):
                 return
-            await self.look(name, member)
+            await self.query_status(name, member)
 
-    async def _repeat(self, name: str) -> None:
-        await asyncio.sleep(self.rng.uniform(0.0, CLOSE_S))
+    async def _resubmit(self, name: str) -> None:
+        await asyncio.sleep(self.rng.uniform(0.0, CLOSE_CHECK_S))
         await self.submit(name)
 
     # -- odd requests -----------------------------------------------------------------
 
-    async def odd_requests(self) -> None:
+    async def send_odd_requests(self) -> None:
         """Repeat, cancel what is over, and send what can't be accepted, until the time is up."""
-        while self.now < self.odd_until:
-            await asyncio.sleep(self.rng.uniform(0.0, 2 * ODD_S))
+        while self.now < self.odd_requests_until:
+            await asyncio.sleep(self.rng.uniform(0.0, 2 * ODD_REQUEST_INTERVAL_S))
             what = self.rng.randrange(3)
             if what == 0:
                 open_ones = [n for n, job in self.jobs.items() if job["accepted"]]
                 open_ones = [n for n in open_ones if self.jobs[n]["over"] is None]
                 if open_ones:
-                    await self._repeat(self.rng.choice(open_ones))
+                    await self._resubmit(self.rng.choice(open_ones))
             elif what == 1:
                 over = [n for n, job in self.jobs.items() if job["over"] == "done"]
                 if over:
                     await self.abort(self.rng.choice(over))
             else:
-                await self._wrong()
+                await self._submit_invalid()
 
-    def _wrong_one(self, number: int) -> tuple[str, dict[str, Any]]:
+    def _invalid_submission(self, number: int) -> tuple[str, dict[str, Any]]:
         """A submission that can't be accepted, and what is wrong with it."""
         name = f"run-{number}"
         known = [job["spec"] for job in self.jobs.values()]
         good = dict(self.rng.choice(known)) if known else self.spec(number)
         good |= {"nameId": name}
         good.pop("waitsOn", None)
-        largest = {key: max(flavor[key] for flavor in self.FLAVORS) for key in SIZES}
+        largest = {key: max(flavor[key] for flavor in self.FLAVORS) for key in RESOURCE_FIELDS}
         odd: list[tuple[str, dict[str, Any]]] = [
             (key, good | {key: 2.0 * most + 1.0}) for key, most in largest.items()
         ]
@@ -157,22 +162,24 @@
             wide = {"vcpus": 1.0, "tasks": flood, "shape": "service", "expectedS": 0.0}
             odd.append(("limit", good | {"owner": team.name} | wide))
         # Each field that is needed in turn, between the sizes.
-        at = number - ODD_FROM
+        at = number - INVALID_JOB_NUMBER
         if at % 2:
-            field = NEEDED[at // 2 % len(NEEDED)]
+            field = REQUIRED_FIELDS[at // 2 % len(REQUIRED_FIELDS)]
             return f"no {field}", {key: value for key, value in good.items() if key != field}
         return odd[at // 2 % len(odd)]
 
-    async def _wrong(self) -> None:
-        self.odd += 1
-        what, spec = self._wrong_one(ODD_FROM + self.odd)
-        answer = await self.ask("POST", "/v2/runs", spec)
+    async def _submit_invalid(self) -> None:
+        self.invalid_submissions += 1
+        what, spec = self._invalid_submission(INVALID_JOB_NUMBER + self.invalid_submissions)
+        answer = await self.send_request("POST", "/v2/runs", spec)
         if answer is None:
             return
         if answer[0] in (200, 201):
             raise Broken(f"accepted_bad: {what} in {spec}")
         if answer[0] in (400, 422):
-            self.odd_told[what] = self.odd_told.get(what, 0) + 1
-            found = await self.ask("GET", f"/v2/runs/{spec.get('nameId', 'run-799999')}", b"")
+            self.invalid_refusals[what] = self.invalid_refusals.get(what, 0) + 1
+            found = await self.send_request(
+                "GET", f"/v2/runs/{spec.get('nameId', 'run-799999')}", b""
+            )
             if found is not None and found[0] == 200:
                 raise Broken(f"accepted_bad: {what} was refused and is there, {spec}")
--- a/src/chalkgrade/region/fleet.py
+++ b/src/chalkgrade/region/fleet.py
@@ -8,7 +8,7 @@
 
 from chalkgrade.region.day import Day, Fault, Pipe, Work, members
 from chalkgrade.region.loop import VirtualLoop
-from chalkgrade.region.rules import BEGAN, Broken
+from chalkgrade.region.rules import START_TIME_S, Broken
 from chalkgrade.region.world import World, close, wait
 from chalkgrade.state.leadership import LEADER_KEY
 
@@ -155,13 +155,13 @@
         elif fault.kind == "take":
             for name in self.machines(fault.zone, fault.count):
                 if self.workers[name].machine["standby"]:
-                    self.spawn(self._take(name, lasts))
+                    self.spawn(self._preempt(name, lasts))
         elif fault.kind == "deaf":
             self.deafen(set(self.machines(fault.zone, fault.count)), lasts)
         elif fault.kind == "mute":
             self.mute(set(self.machines(fault.zone, fault.count)), lasts)
         elif fault.kind == "copies" and fault.for_next:
-            self.spawn(self.keep_for_next(lasts, fault.share))
+            self.spawn(self.resend_to_next_leader(lasts, fault.share))
         elif fault.kind == "copies":
             self.copies = (self.now + lasts, fault.share, fault.late)
         elif fault.kind == "late_writes" and fault.at_once:
@@ -169,14 +169,14 @@
         elif fault.kind == "late_writes":
             self.store.late = (self.now + lasts, fault.share, fault.late)
         elif fault.kind == "cancel_now":
-            self.cancel_now(fault.count, fault.hang_s)
+            self.cancel_running_jobs(fault.count, fault.hang_s)
         elif fault.kind == "cancel_at_end":
-            self.at_end = (self.now + lasts, fault.share)
+            self.cancelling_at_end = (self.now + lasts, fault.share)
         elif fault.kind == "odd_requests":
-            self.odd_until = self.now + lasts
-            self.spawn(self.odd_requests())
+            self.odd_requests_until = self.now + lasts
+            self.spawn(self.send_odd_requests())
         elif fault.kind == "close_looks":
-            self.close_until = self.now + lasts
+            self.close_checks_until = self.now + lasts
         elif fault.kind == "quick_boots":
             self.cloud.quick_until = self.now + lasts
         elif fault.kind == "hang":
@@ -235,10 +235,10 @@
         for member in self.members:
             self.boot(member)
         self.spawn(self.sweep())
-        self.spawn(self.stranger())
+        self.spawn(self.query_unknown_jobs())
         begin = self.now
         if day.drawn:
-            self.spawn(self.troubles(begin + day.seconds))
+            self.spawn(self.run_troubles(begin + day.seconds))
 
         async def later(at: float, work: Any) -> None:
             await asyncio.sleep(at)
@@ -274,7 +274,7 @@
 
 def figures(world: FleetWorld, broken: str = "") -> dict[str, Any]:
     """What a day came to: rules, served, waits in seconds, money, changes of leader."""
-    took = max(1e-9, world.now - BEGAN)
+    took = max(1e-9, world.now - START_TIME_S)
     waits: dict[str, list[float]] = {}
     for job in world.jobs.values():
         ready = world.ready_at(job) if "first" in job else None
@@ -290,16 +290,16 @@
         "served_team": {key: round(v, 3) for key, v in world.served("owner").items()},
         "could_class": {key: round(v, 3) for key, v in world.could("jobclass").items()},
         "could_team": {key: round(v, 3) for key, v in world.could("owner").items()},
-        "largest_begin_s": {key: round(v, 1) for key, v in world.largest_begin().items()},
-        "silent_s_max": round(world.silent_most, 1),
-        "idle_room_s_max": round(world.idle.most, 1),
+        "largest_begin_s": {key: round(v, 1) for key, v in world.largest_start_delays().items()},
+        "silent_s_max": round(world.longest_silence_s, 1),
+        "idle_room_s_max": round(world.idle.longest_wait_s, 1),
         "starts_after_cancel": world.starts_after_cancel,
         "wait_s_p50": {key: round(percentile(v, 0.5), 2) for key, v in sorted(waits.items())},
         "wait_s_p95": {key: round(percentile(v, 0.95), 2) for key, v in sorted(waits.items())},
         "machines_rented": world.cloud.number,
         "money": round(world.cloud.money(), 3),
         "tasks_started": world.started,
-        "work_lost_s": round(world.lost, 1),
+        "work_lost_s": round(world.lost_work_s, 1),
         "lease_kills": world.lease_ends,
         "leaders": len(world.store.written[LEADER_KEY]),
         "state_changes_s": round(world.store.rev / took, 1),
--- a/src/chalkgrade/region/licences.py
+++ b/src/chalkgrade/region/licences.py
@@ -37,13 +37,13 @@
         self.pools = {name: Pool(*made) for name, made in pools.items()}
         self.down_until = 0.0
         self.slow_until = 0.0  # answers take seconds
-        self.mad_until = 0.0  # answers are nonsense
+        self.nonsense_until = 0.0  # answers are nonsense
         self.stale_until = 0.0  # lists are as they were
         self.lists: dict[str, dict[str, Any]] = {}
         self.requests = 0
         self.late = 0.0
 
-    def forget(self) -> None:
+    def restart(self) -> None:
         """It restarts, and knows nobody any more."""
         for pool in self.pools.values():
             pool.held.clear()
@@ -53,7 +53,7 @@
         self.requests += 1
         if now < self.down_until:
             return 503, {"error": "down"}
-        if now < self.mad_until:
+        if now < self.nonsense_until:
             return world.rng.choice([(200, {"names": 7}), (200, []), (500, {}), (200, {})])
         if now < self.slow_until:
             await asyncio.sleep(world.rng.uniform(0.5, 4.0))
@@ -88,7 +88,7 @@
         return 200, {"names": done, "ttlS": pool.ttl_s}
 
 
-class Tool:
+class LicensedTool:
     """Who really runs under which pool: counted where tasks run, not by the server."""
 
     def __init__(self, world: History, seats: dict[str, int]) -> None:
@@ -99,21 +99,21 @@
         self.running: dict[str, dict[Any, int]] = {pool: {} for pool in seats}
         self.people: dict[str, int] = dict.fromkeys(seats, 0)
         self.peak = dict.fromkeys(seats, 0)
-        self.unseated = 0  # tasks that failed for want of a seat
-        self.busy = dict.fromkeys(seats, 0.0)  # seat seconds in use while work waits
-        self.there = dict.fromkeys(seats, 0.0)  # seat seconds there are meanwhile
+        self.unlicensed_failures = 0  # tasks that failed for want of a seat
+        self.used_seat_s = dict.fromkeys(seats, 0.0)  # seat seconds in use while work waits
+        self.available_seat_s = dict.fromkeys(seats, 0.0)  # seat seconds there are meanwhile
         self.since = world.now
 
-    def need(self, spec: dict[str, Any]) -> dict[str, int]:
+    def seats_needed(self, spec: dict[str, Any]) -> dict[str, int]:
         return self.needs.get(spec["jobclass"], {})
 
     def start(self, task: Any) -> bool:
         """Whether a task finds its seats; it holds them until `end`."""
-        need = self.need(task.spec)
+        need = self.seats_needed(task.spec)
         for pool, count in need.items():
             taken = sum(self.running[pool].values()) + self.people[pool]
             if taken + count > self.seats[pool]:
-                self.unseated += 1
+                self.unlicensed_failures += 1
                 return False
         for pool, count in need.items():
             self.running[pool][task] = count
@@ -124,7 +124,7 @@
         for pool in self.running.values():
             pool.pop(task, None)
 
-    def tick(self) -> None:
+    def count_seat_time(self) -> None:
         """Count seat time, wherever work for the pool waits."""
         now, passed = self.world.now, self.world.now - self.since
         self.since = now
@@ -135,7 +135,7 @@
                 continue
             name = spec["nameId"]
             done = sum(f"{name}/{index}" in self.world.done for index in range(spec["tasks"]))
-            for pool, count in self.need(spec).items():
+            for pool, count in self.seats_needed(spec).items():
                 waiting[pool] += count * (spec["tasks"] - done)
         for pool, seats in self.seats.items():
             ours = sum(self.running[pool].values())
@@ -143,10 +143,10 @@
             seats = min(seats, server.pools[pool].seats) if server is not None else seats
             there = min(seats - self.people[pool], waiting[pool])
             if waiting[pool] > ours and there > 0:
-                self.busy[pool] += min(ours, there) * passed
-                self.there[pool] += there * passed
+                self.used_seat_s[pool] += min(ours, there) * passed
+                self.available_seat_s[pool] += there * passed
 
-    async def come_and_go(self, server: LicenceServer, pool: str, until: float) -> None:
+    async def simulate_people(self, server: LicenceServer, pool: str, until: float) -> None:
         """People take and give back seats, as the server lets them."""
         rng, number = self.world.rng, 0
         while self.world.now < until:
--- a/src/chalkgrade/region/troubles.py
+++ b/src/chalkgrade/region/troubles.py
@@ -4,18 +4,18 @@
 from typing import Any
 
 from chalkgrade import constants
-from chalkgrade.region.askers import Askers
+from chalkgrade.region.adversarial_users import AdversarialUsers
 from chalkgrade.region.cloud import Cloud
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.store import Store
 from chalkgrade.region.worker import Worker
 from chalkgrade.state.leadership import LEADER_KEY
 
-NEXT_S = 0.01  # s; between two looks at whether a new leader has begun
-NEXT_WITHIN_S = 1.0  # s; within which it gets the copies that were kept for it
+LEADER_CHECK_INTERVAL_S = 0.01  # s; between two looks at whether a new leader has begun
+OLD_REPORTS_WITHIN_S = 1.0  # s; within which it gets the copies that were kept for it
 
 
-class Troubles(Askers):
+class Troubles(AdversarialUsers):
     """Crashes, cuts, silences and outages over a region's controllers, machines and services."""
 
     KINDS = 17  # of trouble that are drawn
@@ -25,14 +25,17 @@
         self.store, self.cloud = Store(self), Cloud(self)
         self.workers: dict[str, Worker] = self.cloud.workers
         self.storm_until = 0.0
-        self.given, self.given_until = 0, 0.0  # kept copies that a new leader got; until when
-        self.flapped_until = 0.0  # when a process of a loop of crashes was last started
+        self.old_reports_delivered, self.old_reports_until = (
+            0,
+            0.0,
+        )  # kept copies that a new leader got; until when
+        self.last_flap_at = 0.0  # when a process of a loop of crashes was last started
 
     def leaders(self) -> list[str]:
         """Who holds the lead by its own word."""
         raise NotImplementedError
 
-    def standing(self, jobclass: str) -> str:
+    def waiting_reason(self, jobclass: str) -> str:
         """Why a class waits, in the leader's own words: for people, no rule goes by it."""
         raise NotImplementedError
 
@@ -54,10 +57,10 @@
         """A loop of crashes: each process lives for a third to 5/3 of `every`; all in s."""
         for _ in range(times):
             await self.restart(member, after)
-            self.flapped_until = self.now
+            self.last_flap_at = self.now
             await asyncio.sleep(every * self.rng.uniform(1 / 3, 5 / 3))
 
-    def troubled(self) -> bool:
+    def is_troubled(self) -> bool:
         """Whether anything is in trouble now, or a process has just come back."""
         now, store = self.now, self.store
         cut = any(row[2] > now for row in self.cuts)
@@ -67,10 +70,12 @@
         # A late transaction or copy may still come after the last one was held up.
         until, _, (_, most) = store.late
         held = until > 0 and now < until + most
-        lasting = held or now < max(self.copies[0], self.flapped_until)
-        copied = now < max(self.keeps[0], self.given_until)
+        lasting = held or now < max(self.copies[0], self.last_flap_at)
+        copied = now < max(self.keeps[0], self.old_reports_until)
         mute = any(until > now for until in self.muted.values())
-        users = now < max(self.at_end[0], self.odd_until, self.close_until)
+        users = now < max(
+            self.cancelling_at_end[0], self.odd_requests_until, self.close_checks_until
+        )
         quick = now < max(self.cloud.quick_until, store.unanswered[0])
         return cut or state or frozen or down or lasting or copied or mute or users or quick
 
@@ -82,7 +87,7 @@
             await asyncio.sleep(self.rng.uniform(0.0, every))
             other = self.rng.choice(self.members)
             self.spawn(self.restart(other, self.rng.uniform(*constants.BACK_SOON_S)))
-            self.flapped_until = self.now
+            self.last_flap_at = self.now
             await asyncio.sleep(self.rng.uniform(0.0, every))
 
     def deafen(self, names: set[str], seconds: float) -> None:
@@ -93,58 +98,58 @@
         """These machines reach no controller; what controllers ask or tell them arrives."""
         self.muted |= dict.fromkeys(sorted(names), self.now + seconds)
 
-    async def keep_for_next(self, seconds: float, share: float) -> None:
+    async def resend_to_next_leader(self, seconds: float, share: float) -> None:
         """Copies of reports reach every controller in the first second of the next leader."""
-        stamp = self._leader_stamp()
+        stamp = self._leader_revision()
         self.keeps = (self.now + seconds, share)
-        while stamp == self._leader_stamp() or not self._leader_stamp():
-            await asyncio.sleep(NEXT_S)
+        while stamp == self._leader_revision() or not self._leader_revision():
+            await asyncio.sleep(LEADER_CHECK_INTERVAL_S)
         self.keeps = (min(self.now, self.keeps[0]), share)
-        self.given_until = self.now + NEXT_WITHIN_S
+        self.old_reports_until = self.now + OLD_REPORTS_WITHIN_S
         kept, self.kept = self.kept, {}
         for source, bodies in kept.items():
             for body in bodies:
                 for member in self.members:
-                    self.spawn(self.give(source, member, body))
+                    self.spawn(self.deliver_old_report(source, member, body))
 
-    def _leader_stamp(self) -> int:
+    def _leader_revision(self) -> int:
         """The revision at which the present leader's key was written; 0: nobody leads."""
         return self.store.keys[LEADER_KEY][1] if LEADER_KEY in self.store.keys else 0
 
-    async def give(self, source: str, member: str, body: Any) -> None:
+    async def deliver_old_report(self, source: str, member: str, body: Any) -> None:
         """An old report arrives at a controller while a leader has just begun."""
-        await asyncio.sleep(self.rng.uniform(0.0, NEXT_WITHIN_S))
+        await asyncio.sleep(self.rng.uniform(0.0, OLD_REPORTS_WITHIN_S))
         if self.up(member):
             await self.servers[member](source, "POST", "/hello", body)
-            self.given += 1
+            self.old_reports_delivered += 1
 
     def isolate(self, member: str, seconds: float, hold: bool) -> None:
         """A controller without the state service and the others, but with its workers."""
         self.cut({member}, {*self.members, "state"} - {member}, seconds, hold)
 
-    def back(self) -> float:
+    def restart_delay_s(self) -> float:
         """After how long a process that ended is back: at once or after a while; s."""
         soon = self.rng.random() < 0.5
         return self.rng.uniform(*(constants.BACK_SOON_S if soon else constants.BACK_LATE_S))
 
     # -- drawn ----------------------------------------------------------------------
 
-    async def troubles(self, until: float) -> None:
+    async def run_troubles(self, until: float) -> None:
         while self.now < until:
             await asyncio.sleep(self.rng.expovariate(1 / 9.0))
-            self.trouble(self.rng.randrange(self.KINDS), self.rng.uniform(3, 25))
+            self.start_trouble(self.rng.randrange(self.KINDS), self.rng.uniform(3, 25))
 
-    def trouble(self, kind: int, seconds: float) -> None:
+    def start_trouble(self, kind: int, seconds: float) -> None:
         rng, nodes = self.rng, sorted(self.members)
         leaders = self.leaders()
         member = rng.choice(leaders or nodes)
         workers = sorted(self.workers)
         hold = rng.random() < 0.5
         if kind == 0:
-            self.spawn(self.restart(member, self.back()))
+            self.spawn(self.restart(member, self.restart_delay_s()))
         elif kind == 1:
             for name in nodes:
-                self.spawn(self.restart(name, self.back()))
+                self.spawn(self.restart(name, self.restart_delay_s()))
         elif kind == 2:
             self.store.outage(seconds)
         elif kind == 3:
@@ -166,7 +171,7 @@
         elif kind == 8 and workers:
             for name in rng.sample(workers, min(3, len(workers))):
                 if self.workers[name].machine["standby"]:
-                    self.spawn(self._take(name, rng.choice([0.0, 4.0])))
+                    self.spawn(self._preempt(name, rng.choice([0.0, 4.0])))
         elif kind == 9 and workers:
             self.workers[rng.choice(workers)].sick = True
         elif kind == 10:
@@ -181,7 +186,7 @@
             if self.now >= self.storm_until:
                 self.storm_until = self.now + seconds
                 for _ in range(20):
-                    self.spawn(self._storm())
+                    self.spawn(self._query_rapidly())
         elif kind == 14:
             others = {*nodes, "state", *workers} - {member}
             self.cut(
@@ -191,7 +196,7 @@
             self.store.slow = (rng.choice([0.02, 0.075, 0.3]), self.now + seconds * 2)
         elif kind == 16:
             for name in rng.sample(nodes, rng.randint(1, len(nodes))):
-                self.spawn(self.flap(name, rng.randint(2, 6), 3.0, self.back()))
+                self.spawn(self.flap(name, rng.randint(2, 6), 3.0, self.restart_delay_s()))
 
         elif kind == 17 and workers:
             chosen = rng.sample(workers, min(len(workers), rng.randrange(1, 5)))
@@ -204,21 +209,21 @@
         elif kind == 20:
             self.spawn(self.election(rng.randint(2, 8), rng.choice([0.1, 0.5, 2.0])))
 
-    async def _storm(self) -> None:
+    async def _query_rapidly(self) -> None:
         """A user who asks many times as often, for known and unknown jobs."""
         while self.now < self.storm_until:
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
             known = [name for name, job in self.jobs.items() if job["accepted"]]
             if not known or self.rng.random() < 0.2:
                 name = f"run-{self.rng.randrange(800000, 899999)}"
-                answer = await self.ask("GET", f"/v2/runs/{name}", b"")
+                answer = await self.send_request("GET", f"/v2/runs/{name}", b"")
                 if answer is not None and answer[0] == 200:
                     raise Broken(f"invented: {name}")
                 continue
             name = self.rng.choice(known)
-            await self.look(name)
+            await self.query_status(name)
 
-    async def _take(self, name: str, notice: float) -> None:
+    async def _preempt(self, name: str, notice: float) -> None:
         worker = self.workers.get(name)
         if worker is not None and notice:
             worker.warning = notice
--- a/src/chalkgrade/region/users.py
+++ b/src/chalkgrade/region/users.py
@@ -7,15 +7,15 @@
 from chalkgrade.outside import NoAnswer
 from chalkgrade.region.rules import Broken, History
 
-POLL = (2.0, 5.0)  # s; between two looks at a job
-POLL_OVER = (10.0, 40.0)  # s; the same once it has been over for a while
-POLL_ON_S = 15.0
+POLL_INTERVAL_S = (2.0, 5.0)  # s; between two looks at a job
+POLL_OVER_INTERVAL_S = (10.0, 40.0)  # s; the same once it has been over for a while
+POLL_SLOWER_AFTER_S = 15.0
 
 
 class Users(History):
     """Users behind a load balancer; every answer is checked."""
 
-    PIPED = 0.0  # share of jobs that name earlier ones, where nothing else says so
+    PIPELINE_SHARE = 0.0  # share of jobs that name earlier ones, where nothing else says so
 
     def spec(self, number: int, **changes: Any) -> dict[str, Any]:
         rng = self.rng
@@ -71,13 +71,17 @@
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         # Its own, so that pipelines change nothing else that a seed draws.
-        self.luck = random.Random(args[1])
+        self.pipeline_rng = random.Random(args[1])
 
     async def user(self, spec: dict[str, Any], abort_after: float | None) -> None:
         """Submit, poll until it is over, sometimes abort; every answer is checked."""
         name = spec["nameId"]
-        if self.PIPED and "waitsOn" not in spec and self.luck.random() < self.PIPED:
-            spec["waitsOn"] = self.earlier(spec)
+        if (
+            self.PIPELINE_SHARE
+            and "waitsOn" not in spec
+            and self.pipeline_rng.random() < self.PIPELINE_SHARE
+        ):
+            spec["waitsOn"] = self.choose_dependencies(spec)
         self.jobs[name] = {"spec": spec, "aborted": None, "accepted": False, "over": None}
         self.jobs[name] |= {"at": self.now, "replicas": set()}
         job = self.jobs[name]
@@ -87,43 +91,49 @@
                 break
             await asyncio.sleep(1.0)
         job["accepted"] = True
-        self.close_look(name)
+        self.on_status_change(name)
         if abort_after is not None:
             await asyncio.sleep(abort_after)
-            await self.call_off(name)
+            await self.cancel_until_over(name)
         while True:
-            answer = await self.look(name)
+            answer = await self.query_status(name)
             self.polls += 1
-            self.questioned(name, answer is not None and answer[0] == 200)
+            self.record_poll(name, answer is not None and answer[0] == 200)
             if self.rng.random() < 0.1:
                 await self.submit(name)
             # Who knows the end looks again, but not at once: thousands of jobs are over.
-            rest = POLL_OVER if job["over"] and self.now > job["over_at"] + POLL_ON_S else POLL
+            rest = (
+                POLL_OVER_INTERVAL_S
+                if job["over"] and self.now > job["over_at"] + POLL_SLOWER_AFTER_S
+                else POLL_INTERVAL_S
+            )
             await asyncio.sleep(self.rng.uniform(*rest))
 
     # Every question about a job goes through these three, and every answer through the rules.
 
     async def submit(self, name: str, member: str = "") -> tuple[int, Any] | None:
         """Submit a job, for the first time or again."""
-        return await self._question(name, "POST", "/v2/runs", self.jobs[name]["spec"], member)
+        return await self._checked_request(
+            name, "POST", "/v2/runs", self.jobs[name]["spec"], member
+        )
 
-    async def look(self, name: str, member: str = "") -> tuple[int, Any] | None:
+    async def query_status(self, name: str, member: str = "") -> tuple[int, Any] | None:
         """Ask for a job's status."""
-        return await self._question(name, "GET", f"/v2/runs/{name}", b"", member)
+        return await self._checked_request(name, "GET", f"/v2/runs/{name}", b"", member)
 
     async def abort(self, name: str, member: str = "") -> tuple[int, Any] | None:
         """Ask for a job's end."""
-        return await self._question(name, "POST", f"/v2/runs/{name}/abort", b"", member)
+        return await self._checked_request(name, "POST", f"/v2/runs/{name}/abort", b"", member)
 
-    async def _question(
+    async def _checked_request(
         self, name: str, method: str, path: str, body: Any, member: str
     ) -> tuple[int, Any] | None:
         asked = self.now
-        answer = await self.ask(method, path, body, member)
-        self.answered(name, asked, answer)
+        answer = await self.send_request(method, path, body, member)
+        self.check_answer(name, asked, answer)
         return answer
 
-    async def call_off(self, name: str) -> None:
+    async def cancel_until_over(self, name: str) -> None:
         """Cancel a job, again and again until it is told that the job is over."""
         job = self.jobs[name]
         while job["over"] is None:
@@ -131,34 +141,36 @@
             await self.abort(name)
             await asyncio.sleep(1.0)
 
-    def close_look(self, name: str) -> None:
+    def on_status_change(self, name: str) -> None:
         """Something was told of a job, or it ended: some users look at once."""
 
-    def earlier(self, spec: dict[str, Any]) -> list[str]:
+    def choose_dependencies(self, spec: dict[str, Any]) -> list[str]:
         """Some accepted jobs, in any state, that a job may wait for."""
         known = [
             name
             for name, job in self.jobs.items()
             if job["accepted"] and job["spec"]["shape"] != "service"
         ]
-        return self.luck.sample(known, min(len(known), self.luck.choice([1, 1, 2, 3])))
+        return self.pipeline_rng.sample(
+            known, min(len(known), self.pipeline_rng.choice([1, 1, 2, 3]))
+        )
 
-    async def stranger(self) -> None:
+    async def query_unknown_jobs(self) -> None:
         while True:
             name = f"run-{self.rng.randrange(900000, 999999)}"
-            if self.PIPED:
+            if self.PIPELINE_SHARE:
                 lost = self.spec(int(name[4:]) + 100000, shape="batch", jobclass="small")
                 lost |= {"waitsOn": [name], "owner": "blue", "vcpus": 1.0, "memoryGb": 1.0}
                 lost |= {"site": None, "hosttypes": None}
-                answer = await self.ask("POST", "/v2/runs", lost)
+                answer = await self.send_request("POST", "/v2/runs", lost)
                 if answer is not None and answer[0] in (200, 201, 400):
                     raise Broken(f"{lost['nameId']} names no job and got {answer}")
-            answer = await self.ask("GET", f"/v2/runs/{name}", b"")
+            answer = await self.send_request("GET", f"/v2/runs/{name}", b"")
             if answer is not None and answer[0] == 200:
                 raise Broken(f"invented: {name}")
             await asyncio.sleep(7.0)
 
-    async def ask(
+    async def send_request(
         self, method: str, path: str, body: Any, member: str = ""
     ) -> tuple[int, Any] | None:
         """One question to a controller, any that is up where none is named."""
--- a/src/chalkgrade/region/worker.py
+++ b/src/chalkgrade/region/worker.py
@@ -12,7 +12,7 @@
 from chalkgrade.region.rules import History
 
 WORKER_PORT = 9000
-ANSWER_S = 4.0  # s; an answer that takes longer is dropped; from the protocol
+ANSWER_TIMEOUT_S = 4.0  # s; an answer that takes longer is dropped; from the protocol
 
 
 class Task:
@@ -23,7 +23,7 @@
         self.status, self.kept = "fetching", False
         self.cause: str | None = None
         self.timers: list[asyncio.Task[None]] = []
-        self.began = self.base = 0.0  # when its work began, and what had been done before
+        self.began = self.saved_work_s = 0.0  # when its work began, and what had been done before
 
     @property
     def present(self) -> bool:
@@ -58,7 +58,7 @@
 
     def die(self) -> None:
         self.alive = False
-        self._drop_all()
+        self._kill_tasks()
         for loop in self.loops:
             loop.cancel()
 
@@ -67,31 +67,31 @@
         every, ran = task.spec["savepointS"], self.world.now - task.began
         if every > 0 and task.status in ("running", "saving"):
             kept = ran if task.status == "saving" else ran // every * every
-            self.world.progress[task.name] = task.base + kept
-            self.world.lost += ran - kept
+            self.world.progress[task.name] = task.saved_work_s + kept
+            self.world.lost_work_s += ran - kept
         elif task.status == "running" and task.name not in self.world.done:
-            self.world.lost += ran
+            self.world.lost_work_s += ran
 
-    def _drop_all(self) -> None:
+    def _kill_tasks(self) -> None:
         for task in self.tasks.values():
             if task.began and task.status != "ended":
                 self._save(task)
             for timer in task.timers:
                 timer.cancel()
-            self._gone(task)
+            self._leave_machine(task)
         self.tasks.clear()
 
-    def _gone(self, task: Task) -> None:
+    def _leave_machine(self, task: Task) -> None:
         self.world.leave(task)
-        if self.world.tool is not None:
-            self.world.tool.end(task)
+        if self.world.licensed_tool is not None:
+            self.world.licensed_tool.end(task)
 
     async def _lease_loop(self) -> None:
         while self.alive:
             left = self.lease_from + self.world.LEASE_S - self.world.now
             if left < 0:
                 self.world.lease_ends += sum(t.status != "ended" for t in self.tasks.values())
-                self._drop_all()
+                self._kill_tasks()
                 self.tenure += 1
                 self.lease_from = self.world.now
                 self.changed.set()
@@ -140,15 +140,15 @@
         if data["baton"] < self.baton or data["tenure"] != self.tenure:
             return 409, self.report()
         if data["baton"] > self.baton:
-            self._obey(data["baton"])
+            self._adopt_token(data["baton"])
         for order in data["orders"]:
             self._execute(order)
         return 200, self.report()
 
-    def _obey(self, baton: int) -> None:
+    def _adopt_token(self, baton: int) -> None:
         """A higher token was seen."""
         self.baton = baton
-        self.world.obeyed.setdefault(baton, {})[self.name] = self.world.now
+        self.world.token_adoptions.setdefault(baton, {})[self.name] = self.world.now
         self.changed.set()
 
     async def _report_loop(self) -> None:
@@ -158,16 +158,16 @@
             self.changed.clear()
             try:
                 status, body = await world.request(
-                    self.name, self.target, "POST", "/hello", self.report(), ANSWER_S
+                    self.name, self.target, "POST", "/hello", self.report(), ANSWER_TIMEOUT_S
                 )
             except NoAnswer:
-                await self._next_node()
+                await self._try_next_controller()
                 continue
-            if world.now - sent > ANSWER_S:
+            if world.now - sent > ANSWER_TIMEOUT_S:
                 continue  # it hung meanwhile
             if status == 200 and body.get("baton", -1) >= self.baton and tenure == self.tenure:
                 if body["baton"] > self.baton:
-                    self._obey(body["baton"])
+                    self._adopt_token(body["baton"])
                 self.lease_from = max(self.lease_from, sent)
                 for order in body["orders"]:
                     self._execute(order)
@@ -179,7 +179,7 @@
                 self.target = body["reportsTo"]
                 continue
             elif status != 200:
-                await self._next_node()
+                await self._try_next_controller()
                 continue
             await asyncio.sleep(0.5)
             try:
@@ -188,7 +188,7 @@
             except TimeoutError:
                 pass
 
-    async def _next_node(self) -> None:
+    async def _try_next_controller(self) -> None:
         names = sorted(self.world.members)
         self.target = names[(names.index(self.target) + 1) % len(names)]
         await asyncio.sleep(1.0)
@@ -209,7 +209,7 @@
             spec = task.spec
             wished = self.world.jobs[spec["nameId"]].get("asked") or self.warning is not None
             if task.present and not wished:
-                self.world.stops.append(self.world.now)
+                self.world.unrequested_stops.append(self.world.now)
             saves = task.status == "running" and spec["savepointS"] > 0
             if saves and order["graceS"] >= spec["flushS"]:
                 task.status = "saving"
@@ -220,7 +220,7 @@
 
     def _launch(self, name: str, number: int) -> None:
         world = self.world
-        world.used.setdefault(self.name, world.now)
+        world.first_used_at.setdefault(self.name, world.now)
         job = world.jobs.get(name.rpartition("/")[0])
         task = Task(name, number, job["spec"] if job else {})
         twin = any(t.name == name and t.status != "ended" for t in self.tasks.values())
@@ -245,7 +245,7 @@
             await asyncio.sleep(spec["pullGb"] / self.flavor["pullGbPerS"])
             self.images.add(spec["bundle"])
         world.enter(self, task)
-        if spec["shape"] == "gang" and not await self._gather(task):
+        if spec["shape"] == "gang" and not await self._wait_for_gang(task):
             return
         task.status = "running"
         world.started += 1
@@ -253,17 +253,19 @@
         if spec["shape"] == "service":
             world.jobs[spec["nameId"]]["replicas"].add(task.name)
             return
-        whole = world.runs.setdefault(task.name, spec["expectedS"] * world.rng.uniform(0.5, 2))
-        task.began, task.base = world.now, world.progress.get(task.name, 0.0)
-        seconds = 0.0 if task.name in world.done else max(0.0, whole - task.base)
-        if world.tool is not None and not world.tool.start(task):
+        whole = world.task_run_s.setdefault(
+            task.name, spec["expectedS"] * world.rng.uniform(0.5, 2)
+        )
+        task.began, task.saved_work_s = world.now, world.progress.get(task.name, 0.0)
+        seconds = 0.0 if task.name in world.done else max(0.0, whole - task.saved_work_s)
+        if world.licensed_tool is not None and not world.licensed_tool.start(task):
             await self._end(task, 0.5 + 0.3 * seconds, "error")  # fails partway through
         elif self.sick or spec["jobclass"] == "doomed":
             await self._end(task, 0.5, "error")
         else:
             await self._end(task, seconds, "done")
 
-    async def _gather(self, task: Task) -> bool:
+    async def _wait_for_gang(self, task: Task) -> bool:
         """Wait for the rest of a gang; alone for too long, the task gives up."""
         world = self.world
         task.status = "waiting"
@@ -272,7 +274,7 @@
         try:
             async with asyncio.timeout(world.GANG_WAIT_S):
                 while True:
-                    there = {t.name for _, t in world.of_job(job)}
+                    there = {t.name for _, t in world.present_of_job(job)}
                     names = (f"{job}/{index}" for index in range(task.spec["tasks"]))
                     if all(name in there or name in world.done for name in names):
                         return True
@@ -299,7 +301,7 @@
         if cause == "error":
             failures = self.world.failures
             failures[task.spec["nameId"]] = failures.get(task.spec["nameId"], 0) + 1
-        self._gone(task)
+        self._leave_machine(task)
         current = asyncio.current_task()
         for timer in task.timers:
             if timer is not current:
--- a/src/chalkgrade/region/world.py
+++ b/src/chalkgrade/region/world.py
@@ -94,7 +94,7 @@
     def leaders(self) -> list[str]:
         return [m for m, node in self.nodes.items() if node is not None and node.leadership.token]
 
-    def standing(self, jobclass: str) -> str:
+    def waiting_reason(self, jobclass: str) -> str:
         for member in self.leaders():
             node = self.nodes[member]
             term = node.term if node is not None else None
@@ -172,9 +172,9 @@
             self.store.expire()
             self.cloud.snapshot()
             self.check_all_cancelled()
-            if self.troubled():
-                self.calm_from = self.now
-            self.idle.look()
+            if self.is_troubled():
+                self.calm_since = self.now
+            self.idle.check()
             await asyncio.sleep(0.25)
 
 
@@ -182,10 +182,10 @@
     for member in world.members:
         world.boot(member)
     world.spawn(world.sweep())
-    world.spawn(world.stranger())
+    world.spawn(world.query_unknown_jobs())
     begin = world.now
     if troubled:
-        world.spawn(world.troubles(begin + seconds))
+        world.spawn(world.run_troubles(begin + seconds))
     arrivals = sorted(world.rng.uniform(0, seconds * 0.8) for _ in range(jobs))
     for number, at in enumerate(arrivals):
         spec = world.spec(number + 1)
--- a/tests/days/sweep.py
+++ b/tests/days/sweep.py
@@ -37,7 +37,7 @@
     for by in ("jobclass", "owner"):
         could = world.could(by)
         shares += [share / could[key] for key, share in world.served(by).items()]
-    begins = world.largest_begin().values()
+    begins = world.largest_start_delays().values()
     return {
         "day": name,
         "seed": seed,
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -60,13 +60,13 @@
 class Piped(World):
     """Every other job names earlier ones; limits may fall, versions may change."""
 
-    PIPED = 0.5
+    PIPELINE_SHARE = 0.5
     STATE = {"rps": 200, "write_rps": 40, "txn_ops": 16, "value_kb": 16, "next": NEXT}
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.store = CheckedStore(self)
-        self.luck = random.Random(args[1])
+        self.pipeline_rng = random.Random(args[1])
 
     def boot(self, member: str, home: str | None = None) -> None:
         super().boot(member, home)
@@ -109,7 +109,7 @@
     async def upgrade(self, before: float, between: tuple[float, float]) -> None:
         """Each controller in turn ends and comes back with this version."""
         await asyncio.sleep(before)
-        for member in self.luck.sample(self.members, len(self.members)):
+        for member in self.pipeline_rng.sample(self.members, len(self.members)):
             del self.versions[member]
-            await self.restart(member, self.luck.uniform(0.05, 4.0))
-            await asyncio.sleep(self.luck.uniform(*between))
+            await self.restart(member, self.pipeline_rng.uniform(0.05, 4.0))
+            await asyncio.sleep(self.pipeline_rng.uniform(*between))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -40,13 +40,13 @@
 class CloseQueries(World):
     """Four one-task jobs per second, some of them cancelled near their end or at any time."""
 
-    PIPED = 0.15  # share of jobs that wait for earlier ones, and are cancelled with those
+    PIPELINE_SHARE = 0.15  # share of jobs that wait for earlier ones, and are cancelled with those
     TEAMS = ({"name": "red", "cpus": 20, "cpus_max": 60}, {"name": "blue", "cpus": 0})
 
-    def close_look(self, name: str) -> None:
+    def on_status_change(self, name: str) -> None:
         """Query also while the event may not yet have reached some controller."""
-        super().close_look(name)
-        if self.now < self.close_until:
+        super().on_status_change(name)
+        if self.now < self.close_checks_until:
             for member in self.members:
                 for _ in range(QUERIES):
                     self.spawn(self._query_later(name, member, self.rng.uniform(0.0, OPEN_S)))
@@ -54,7 +54,7 @@
     async def _query_later(self, name: str, member: str, after: float) -> None:
         await asyncio.sleep(after)
         if self.up(member):
-            await (self.submit if self.rng.random() < 0.2 else self.look)(name, member)
+            await (self.submit if self.rng.random() < 0.2 else self.query_status)(name, member)
 
     def job(self, number: int) -> dict[str, Any]:
         plain = {"shape": "batch", "jobclass": "small", "tasks": 1, "vcpus": 1.0, "memoryGb": 1.0}
@@ -134,8 +134,8 @@
         until = world.now + BOOT_S + QUERY_PERIOD_S
         world.spawn(world.jobs_come(until))
         await asyncio.sleep(BOOT_S)
-        world.close_until = until
-        world.at_end = (until, 0.3)
+        world.close_checks_until = until
+        world.cancelling_at_end = (until, 0.3)
         world.spawn(world.answers_lost(until, lost))
         await asyncio.sleep(QUERY_PERIOD_S / 2)
         leader = _acting_leader(world)
@@ -164,7 +164,7 @@
     world = _play(11, trouble, lost)
     # The case occurred: many events of all three kinds were queried, and responses were lost.
     over = [job["over"] for job in world.jobs.values()]
-    assert world.looked > 60 and world.called_off > 6
+    assert world.close_checks > 60 and world.trouble_cancellations > 6
     assert over.count("done") > 10 and over.count("withdrawn") > 10
     kinds = world.store.answers_lost
     assert not lost or all(kinds.get(kind) for kind in ("cg/in/", "cg/end/", "cg/log/")), kinds
@@ -209,7 +209,7 @@
         await _wait_until(self, 5.0, lambda: self.failure is None)
         while (answer := await self.submit(name)) is None or answer[0] not in (200, 201):
             await asyncio.sleep(0.2)
-        await _wait_until(self, 60.0, lambda: self.of_job(name))
+        await _wait_until(self, 60.0, lambda: self.present_of_job(name))
 
 
 def _writes(prefix: str, word: str = "") -> Callable[[dict[str, Any]], bool]:
@@ -231,11 +231,11 @@
     begun = world.now
     while answer is None or answer[0] != 200:
         assert world.now < begun + 3.0, answer
-        answer = await world.look(name, alone)
+        answer = await world.query_status(name, alone)
     assert answer[1]["status"] == status and world.executed
     term = leader.job_api.term
     assert term is not None and term.writer.in_flight.keys_of(name), "its commit is open"
-    again = {"GET": world.look, "POST": world.submit}
+    again = {"GET": world.query_status, "POST": world.submit}
     for member in (first, third, alone):
         for what, ask in again.items():
             answer = await ask(name, member)
@@ -267,7 +267,7 @@
     for asked in aborts:
         answer = await asked
         assert answer is not None and answer[0] in (200, 503), answer  # never 404
-    await world.call_off(name)
+    await world.cancel_until_over(name)
 
 
 async def _end_response_lost(world: LostResponses) -> None:
@@ -310,7 +310,7 @@
         await asyncio.sleep(0.05)
     assert name in term.registry.admissions, "its batch is still unheard"
     for member in world.members:
-        answer = await world.look(name, member)
+        answer = await world.query_status(name, member)
         assert answer is not None and answer[1].get("status") == "withdrawn", answer
     world.holds = lambda op: False
     while name in term.registry.admissions:
@@ -327,7 +327,7 @@
     assert leader is not None
     first = leader.settings.member
     other = next(member for member in world.members if member != first)
-    for host, _ in world.of_job(name):
+    for host, _ in world.present_of_job(name):
         world.loop.freeze(host.name, world.now + 6.0)  # so that it does not end before that
     world.jobs[name]["asked"] = True
     while world.jobs[name]["over"] is None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -89,7 +89,7 @@
         self.told[name] = world.now
         for _ in range(20):
             for member in filter(world.up, world.members):
-                world.spawn(world.look(name, member))
+                world.spawn(world.query_status(name, member))
                 world.spawn(world.abort(name, member))
             await asyncio.sleep(world.rng.uniform(0.005, 0.3))
 
@@ -164,8 +164,8 @@
         assert whom == set(world.members), (when, whom)
     times = [at for _, _, at in cancellations.asked.values()]
     assert min(times) < came and came in times and executed in times and max(times) >= answered
-    assert not any(world.of_job(name) for name in cancellations.asked)
-    assert world.gone_most < world.CANCEL_S and not world.late_starts
+    assert not any(world.present_of_job(name) for name in cancellations.asked)
+    assert world.max_stop_delay_s < world.CANCEL_S and not world.late_starts
 
 
 def _tells_before_it_is_durable(patch: Patch) -> None:
@@ -283,20 +283,20 @@
     spec = _long_job(1) | ({"savepointS": 5.0, "flushS": save} if save else {})
     name = spec["nameId"]
     world.spawn(world.user(spec, None))
-    await _wait_until(world, 120.0, lambda: len(world.of_job(name)) == 4)
+    await _wait_until(world, 120.0, lambda: len(world.present_of_job(name)) == 4)
     world.cut(set(world.members), {"cloud"}, 300.0, False)
     began = world.now
-    for host in {worker.name for worker, _ in world.of_job(name)}:
+    for host in {worker.name for worker, _ in world.present_of_job(name)}:
         world.loop.freeze(host, began + hang_s)
     world.jobs[name]["asked"] = True
     while world.jobs[name]["over"] is None:
         await world.abort(name)
-    assert world.now < began + hang_s and len(world.of_job(name)) == 4
+    assert world.now < began + hang_s and len(world.present_of_job(name)) == 4
     await asyncio.sleep(hang_s + world.CANCEL_S)
-    assert not world.of_job(name)
+    assert not world.present_of_job(name)
     if world.failure is not None:
         raise world.failure
-    return world.gone_most, hang_s
+    return world.max_stop_delay_s, hang_s
 
 
 def test_a_machine_that_is_not_told_again_after_it_hung_is_found(monkeypatch: Patch) -> None:
@@ -318,9 +318,9 @@
         spec = _long_job(1)
         name = spec["nameId"]
         world.spawn(world.user(spec, None))
-        await _wait_until(world, 120.0, lambda: len(world.of_job(name)) == 4)
+        await _wait_until(world, 120.0, lambda: len(world.present_of_job(name)) == 4)
         world.cut(set(world.members), {"cloud"}, 300.0, False)
-        hosts = {worker.name for worker, _ in world.of_job(name)}
+        hosts = {worker.name for worker, _ in world.present_of_job(name)}
         world.cut(set(world.members), hosts, 6.0, False, one_way=True)
         world.jobs[name]["asked"] = True
         while world.jobs[name]["over"] is None:
@@ -350,17 +350,17 @@
     async def meet(name: str) -> None:
         nonlocal near
         job = world.jobs[name]
-        await _wait_until(world, 300.0, lambda: world.of_job(name))
-        task = world.of_job(name)[0][1]
+        await _wait_until(world, 300.0, lambda: world.present_of_job(name))
+        task = world.present_of_job(name)[0][1]
         await _wait_until(world, 300.0, lambda: task.status != "fetching" and task.began)
-        ends_at = task.began + world.runs[task.name]
+        ends_at = task.began + world.task_run_s[task.name]
         await asyncio.sleep(max(0.0, ends_at - world.now + rng.uniform(-0.1, 0.1)))
         job["asked"] = True
         near += abs(world.now - ends_at) <= 0.1
         for _ in range(4):
             for member in world.members:
                 world.spawn(world.abort(name, member))
-                world.spawn(world.look(name, member))
+                world.spawn(world.query_status(name, member))
                 world.spawn(world.submit(name, member))
             await asyncio.sleep(rng.uniform(0.0, 0.05))
         while job["over"] is None:
@@ -368,7 +368,7 @@
             await asyncio.sleep(0.2)
         await asyncio.sleep(1.0)
         for member in world.members:
-            world.spawn(world.look(name, member))
+            world.spawn(world.query_status(name, member))
             world.spawn(world.abort(name, member))
 
     for number in range(1, 81):
@@ -462,7 +462,7 @@
         await asyncio.sleep(0.01)
         for name in names:
             if world.jobs[name]["over"] and name not in told:
-                told[name] = bool(world.of_job(name))
+                told[name] = bool(world.present_of_job(name))
     running = sum(told.values())
     await asyncio.sleep(world.CANCEL_S + 50.0)
     await _wait_until(
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -14,7 +14,7 @@
 from chalkgrade.leading.term import Term
 from chalkgrade.machines.fleet import Machine
 from chalkgrade.record.jobs import Job
-from chalkgrade.region import askers
+from chalkgrade.region import adversarial_users
 from chalkgrade.region import day as days
 from chalkgrade.region.day import Day, Fault
 from chalkgrade.region.fleet import figures, play_day
@@ -60,7 +60,7 @@
 def _tells(world: World, asked: float, came: float, answer: tuple[int, Any]) -> None:
     """One user's question and its answer, seconds from the beginning."""
     _at(world, came)
-    world.answered("run-000001", 1000.0 + asked, answer)
+    world.check_answer("run-000001", 1000.0 + asked, answer)
 
 
 def _complete(world: World) -> None:
@@ -153,7 +153,7 @@
     world, broken = play_day(_small(Fault(3.0, "close_looks", 30.0)), 1)
     assert broken.startswith("went_back") if bug else not broken, broken
     if not bug:
-        assert world.looked > 25 and world.called_off > 0
+        assert world.close_checks > 25 and world.trouble_cancellations > 0
 
 
 @pytest.mark.parametrize("bug", [False, True])
@@ -163,7 +163,7 @@
     day = _small(Fault(3.0, "cancel_at_end", 40.0, share=1.0), Fault(20.0, "crash", 3.0))
     world, broken = play_day(day, 1)
     assert broken.startswith("went_back") if bug else not broken, broken
-    assert world.called_off > 0 if bug else world.called_off > 10
+    assert world.trouble_cancellations > 0 if bug else world.trouble_cancellations > 10
 
 
 def test_a_day_of_close_looks_and_cancellations_repeats_bit_for_bit() -> None:
@@ -200,8 +200,12 @@
     assert broken.startswith("accepted_bad") if bug else not broken, broken
     if bug is None:
         # Each field in turn, and each thing that fits nothing.
-        assert {f"no {field}" for field in askers.NEEDED} <= set(world.odd_told)
-        assert {"vcpus", "gpus", "memoryGb", "hosttypes", "owner", "limit"} <= set(world.odd_told)
+        assert {f"no {field}" for field in adversarial_users.REQUIRED_FIELDS} <= set(
+            world.invalid_refusals
+        )
+        assert {"vcpus", "gpus", "memoryGb", "hosttypes", "owner", "limit"} <= set(
+            world.invalid_refusals
+        )
 
 
 # -- idle room ---------------------------------------------------------------------------
@@ -232,7 +236,7 @@
     for half in range(int(2 * seconds)):
         _at(world, half / 2)
         try:
-            world.idle.look()
+            world.idle.check()
         except Broken as broken:
             assert str(broken).startswith("idle_room: run-000001"), broken
             return True
@@ -305,24 +309,24 @@
     task = Task("run-000003/0", 1, _long_job(3, 1) | {"vcpus": 4.0})
     worker.tasks["run-000003/0", 1] = task
     world.loop.call_soon(lambda: None)
-    plain = world.idle.look
+    plain = world.idle.check
 
     def look() -> None:
         task.status = "ended" if int(world.now) % 6 == 0 else "running"
         plain()
 
-    world.idle.look = look  # type: ignore[method-assign]
+    world.idle.check = look  # type: ignore[method-assign]
 
 
 def _troubled(world: World) -> None:
-    plain = world.idle.look
+    plain = world.idle.check
 
     def look() -> None:
         if int(world.now) % 60 == 0:  # something is in trouble once a minute
-            world.calm_from = world.now
+            world.calm_since = world.now
         plain()
 
-    world.idle.look = look  # type: ignore[method-assign]
+    world.idle.check = look  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("change", [_cancelled, _sick, _leaving, _full, _troubled])
@@ -381,7 +385,7 @@
     history.cloud.there(ROOMS[0], 1)
     worker = history.workers["host-000001"]
     spec = history.jobs["run-000001"]["spec"]
-    history.heard("run-000001", WITHDRAWN)
+    history.record_status("run-000001", WITHDRAWN)
     _at(history, history.CANCEL_S - 1.0)
     task = Task("run-000001/0", 1, spec)
     history.enter(worker, task)
@@ -425,10 +429,10 @@
     for work in day.classes:
         work.run_s = (60.0, 90.0)
     world, broken = play_day(day, 1)
-    assert world.called_off >= 10
+    assert world.trouble_cancellations >= 10
     assert broken.startswith("ran_cancelled") if bug else not broken, broken
     if not bug:
-        assert 6.0 < world.gone_most < world.CANCEL_S
+        assert 6.0 < world.max_stop_delay_s < world.CANCEL_S
 
 
 # -- what else a day file says comes about ---------------------------------------------------
@@ -438,12 +442,12 @@
     async def story(world: World) -> None:
         spec = _long_job(1, 4)
         world.spawn(world.user(spec, None))
-        await _wait_until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
+        await _wait_until(world, 120.0, lambda: len(world.present_of_job(spec["nameId"])) == 4)
         worker = world.present()[0][0]
         world.mute({worker.name}, world.LEASE_S - 2.0)
         lease = worker.lease_from
         await asyncio.sleep(world.LEASE_S - 4.0)
-        assert world.troubled() and worker.lease_from == lease
+        assert world.is_troubled() and worker.lease_from == lease
         asked = await world.request("n-0", worker.name, "GET", "/status", b"", 2.0)
         assert asked[0] == 200 and asked[1]["tasks"]
         key = {"baton": worker.baton, "tenure": worker.tenure}
@@ -452,7 +456,7 @@
             made = {k: v for k, v in (key | wrong).items() if v is not None} | {"orders": [order]}
             body = msgspec.json.encode(made)
             told = await world.request("n-0", worker.name, "POST", "/do", body, 2.0)
-            assert told[0] == status and len(world.of_job(spec["nameId"])) == 4
+            assert told[0] == status and len(world.present_of_job(spec["nameId"])) == 4
         body = msgspec.json.encode(key | {"orders": [order]})
         told = await world.request("n-0", worker.name, "POST", "/do", body, 2.0)
         assert told[0] == 200 and told[1]["seq"] > asked[1]["seq"]
@@ -467,16 +471,16 @@
 def test_copies_that_were_kept_come_in_the_first_second_of_the_next_leader() -> None:
     async def story(world: World) -> None:
         world.spawn(world.user(_long_job(1, 8), None))
-        await _wait_until(world, 120.0, lambda: len(world.of_job("run-000001")) == 8)
+        await _wait_until(world, 120.0, lambda: len(world.present_of_job("run-000001")) == 8)
         came: list[float] = []
-        plain = world.give
+        plain = world.deliver_old_report
 
         async def give(*args: Any) -> None:
             await plain(*args)
             came.append(world.now)
 
-        world.give = give  # type: ignore[method-assign]
-        world.spawn(world.keep_for_next(10.0, 1.0))
+        world.deliver_old_report = give  # type: ignore[method-assign]
+        world.spawn(world.resend_to_next_leader(10.0, 1.0))
         await asyncio.sleep(15.0)
         assert not came and sum(len(bodies) for bodies in world.kept.values()) >= 4
         world.store.written[LEADER_KEY] = []
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -85,8 +85,8 @@
         return last is not None and self._clock.now() - last > 4.5
 
     def prepare(world: World) -> None:
-        plain = world.trouble
-        world.trouble = lambda kind, seconds: plain(4, seconds)  # type: ignore[method-assign]
+        plain = world.start_trouble
+        world.start_trouble = lambda kind, seconds: plain(4, seconds)  # type: ignore[method-assign]
 
     monkeypatch.setattr(fleet.Fleet, "is_lease_over", guess)
     monkeypatch.setattr(fleet.Fleet, "is_own_lease_over", guess)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -157,7 +157,7 @@
 
 
 async def _wait_for_tasks(world: World, name: str, tasks: int) -> None:
-    await _wait_until(world, 120.0, lambda: len(world.of_job(name)) == tasks)
+    await _wait_until(world, 120.0, lambda: len(world.present_of_job(name)) == tasks)
 
 
 async def _abort_until_told(world: World, member: str, name: str) -> None:
@@ -171,7 +171,7 @@
         except NoAnswer:
             answer = 0, {}
         if answer[0] == 200:
-            world.heard(name, answer[1])
+            world.record_status(name, answer[1])
         await asyncio.sleep(1.0)
 
 
@@ -196,10 +196,12 @@
     await _wait_until(world, 20.0, lambda: any(_is_acting(world, member) for member in others))
     new = next(member for member in others if _is_acting(world, member))
     await _abort_until_told(world, new, spec["nameId"])
-    assert world.of_job(spec["nameId"]), "tasks ended early: the old leader should still renew them"
+    assert world.present_of_job(spec["nameId"]), (
+        "tasks ended early: the old leader should still renew them"
+    )
     world.store.outage(world.CANCEL_S + 30.0)
-    await _wait_until(world, 60.0, lambda: not world.of_job(spec["nameId"]))
-    return world.gone_most
+    await _wait_until(world, 60.0, lambda: not world.present_of_job(spec["nameId"]))
+    return world.max_stop_delay_s
 
 
 def _is_acting(world: World, member: str) -> bool:
@@ -263,7 +265,7 @@
             await _abort_until_told(world, new, name)
         world.store.outage(world.CANCEL_S + 30.0)
         await asyncio.sleep(world.CANCEL_S + 5.0)
-        assert not any(world.of_job(name) for name in names[:3])
+        assert not any(world.present_of_job(name) for name in names[:3])
         if world.failure is not None:
             raise world.failure
 
@@ -346,8 +348,8 @@
             world, 20.0, lambda: world.jobs[name]["over"]
         )  # but by one that reads the record
         world.store.outage(world.CANCEL_S + 30.0)
-        await _wait_until(world, 60.0, lambda: not world.of_job(name))
-        took.append(world.gone_most)
+        await _wait_until(world, 60.0, lambda: not world.present_of_job(name))
+        took.append(world.max_stop_delay_s)
 
     tell(story, 2, loss=0.0)
     assert (took[0] > World.LEASE_S) == bug, took
@@ -405,7 +407,7 @@
             world.cut({other}, set(world.members) - {other}, 60.0, False)
         await asyncio.sleep(50.0)
         ends.append(world.lease_ends)
-        assert len(world.of_job(spec["nameId"])) == (4 if case == "all there" else 0)
+        assert len(world.present_of_job(spec["nameId"])) == (4 if case == "all there" else 0)
 
     tell(story, 4, loss=0.0)
     assert bool(ends[0]) == (case != "all there")
@@ -450,7 +452,7 @@
         await asyncio.sleep(world.CANCEL_S + 20.0)
         if world.failure is not None:
             raise world.failure
-        assert not world.of_job(name)
+        assert not world.present_of_job(name)
 
     if bug is None:
         tell(story, 1, loss=0.0)
@@ -501,8 +503,8 @@
         world.store.outage(8.0)
         await asyncio.sleep(4.0)
         leader.term.apply_reported_cancellations({name})
-        await _wait_until(world, 10.0, lambda: not world.of_job(name))
-        await _wait_until(world, 60.0, lambda: len(world.of_job(name)) == 4)
+        await _wait_until(world, 10.0, lambda: not world.present_of_job(name))
+        await _wait_until(world, 60.0, lambda: len(world.present_of_job(name)) == 4)
         assert leader.leadership.may_act()
 
     tell(story, 4, loss=0.0)
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -63,7 +63,7 @@
         job = node.term.jobs["run-000001"]
         assert job.is_faulty and len(job.failures_by_machine) > 2 and len(job.live) <= 1
         await _run_for(world, 200.0)
-        assert world.idle.most < constants.SHUN_S + 15.0
+        assert world.idle.longest_wait_s < constants.SHUN_S + 15.0
         assert len(world.present()) > 8
 
     _check(story, bug, 1)
@@ -103,7 +103,7 @@
         small = _long_job(3, 3) | red | {"urgency": "standard", "expectedS": 20.0}
         world.spawn(world.user(small, None))
         await _run_for(world, 160.0)
-        assert not world.of_job("run-000002")  # the urgent job does wait in this scenario
+        assert not world.present_of_job("run-000002")  # the urgent job does wait in this scenario
         assert world.jobs[small["nameId"]]["over"] == "done"
 
     _check(story, bug, 1)
@@ -129,7 +129,7 @@
         urgent = _long_job(20, 2) | red | {"vcpus": 4.0, "urgency": "high", "expectedS": 10.0}
         world.spawn(world.user(urgent, None))
         begun = world.now
-        await _wait_until(world, 120.0, lambda: bool(world.of_job(urgent["nameId"])))
+        await _wait_until(world, 120.0, lambda: bool(world.present_of_job(urgent["nameId"])))
         if world.failure is not None:
             raise world.failure
         took.append(world.now - begun)
--- a/tests/test_licences.py
+++ b/tests/test_licences.py
@@ -371,7 +371,7 @@
 
     @rule()
     def forget(self) -> None:
-        self.server.forget()
+        self.server.restart()
         self.people = 0
         self.forgot |= self.stock.sure.keys()
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -65,7 +65,7 @@
         self.obeyed_machines: list[str] = []  # unreachable machines that obeyed the last leader
 
     def at_limit(self, owner: str) -> bool:
-        return self.world._used.get(owner, 0.0) > LIMIT - 0.5
+        return self.world._team_cpus.get(owner, 0.0) > LIMIT - 0.5
 
     async def fill(self, **changes: Any) -> None:
         """Bring each limited team to its limit.
@@ -83,11 +83,11 @@
                 self.names.setdefault(owner, spec["nameId"])
                 if tasks == 4:
                     await _wait_until(
-                        world, 120.0, lambda s=spec: len(world.of_job(s["nameId"])) == 4
+                        world, 120.0, lambda s=spec: len(world.present_of_job(s["nameId"])) == 4
                     )
         assert all(self.at_limit(owner) for owner in self.names)
         await asyncio.sleep(4.0)  # the waiting jobs have been refused by then
-        assert all(world._used[owner] <= LIMIT for owner in self.names)
+        assert all(world._team_cpus[owner] <= LIMIT for owner in self.names)
 
     async def _submit_small_jobs(self) -> None:
         """Submit small jobs of a team without a limit, so that machines with room stay rented."""
@@ -103,7 +103,11 @@
         """Make the machines of the jobs that will be cancelled unreachable in the given way."""
         world = self.world
         self.unreachable = sorted(
-            {worker.name for name in self.names.values() for worker, _ in world.of_job(name)}
+            {
+                worker.name
+                for name in self.names.values()
+                for worker, _ in world.present_of_job(name)
+            }
         )
         self.disturbed_at = world.now
         away = set(self.unreachable)
@@ -121,14 +125,16 @@
         """Cancel the jobs at all controllers at once, until each job's user is told."""
         world = self.world
         await asyncio.gather(*(self._cancel(name) for name in self.names.values()))
-        self.cancelled_present = sum(len(world.of_job(name)) for name in self.names.values())
+        self.cancelled_present = sum(
+            len(world.present_of_job(name)) for name in self.names.values()
+        )
         self.told_at = world.now
 
     def unreachable_that_obeyed(self) -> list[str]:
         """Return the unreachable machines that have obeyed the present leader."""
         world = self.world
         row = world.store.keys.get(LEADER_KEY)
-        obeyed = world.obeyed.get(row[1], {}) if row else {}
+        obeyed = world.token_adoptions.get(row[1], {}) if row else {}
         return [name for name in self.unreachable if name in obeyed]
 
     async def _cancel(self, name: str) -> None:
@@ -146,7 +152,7 @@
             if world.failure is not None:
                 raise world.failure
             for owner, name in self.names.items():
-                if owner not in self.cancelled_gone_at and not world.of_job(name):
+                if owner not in self.cancelled_gone_at and not world.present_of_job(name):
                     self.cancelled_gone_at[owner] = world.now
                 if (
                     owner in self.cancelled_gone_at
@@ -256,7 +262,7 @@
     )
     if how:
         assert not scenario.obeyed_machines, "their machines had not obeyed the new leader"
-    assert world.gone_most < world.CANCEL_S
+    assert world.max_stop_delay_s < world.CANCEL_S
     assert scenario.limit_used_at.keys() == scenario.names.keys()
     late = {
         owner: at - scenario.cancelled_gone_at[owner]
@@ -278,7 +284,7 @@
     scenario = _play(7, kind, how, cloud=False)
     world = scenario.world
     assert scenario.cancelled_present == 8 and scenario.leader_changes() == len(how)
-    assert world.gone_most < world.LEASE_S + 1.0
+    assert world.max_stop_delay_s < world.LEASE_S + 1.0
     back_at = scenario.disturbed_at + UNREACHABLE_S
     for at in scenario.limit_used_at.values():
         if how:  # an earlier leader may have renewed the machines' leases
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -465,7 +465,7 @@
         while not world.jobs[name]["accepted"]:
             answer = await _request(world, others[0], "POST", "/v2/runs", spec)
             if answer[0] in (200, 201):
-                world.heard(name, answer[1])
+                world.record_status(name, answer[1])
                 world.jobs[name]["accepted"] = True
                 return
             assert answer[0] in (0, 503), answer
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -302,7 +302,7 @@
 
 
 def _zones(world: World, name: str) -> set[str]:
-    return {worker.zone for worker, _ in world.of_job(name)}
+    return {worker.zone for worker, _ in world.present_of_job(name)}
 
 
 @pytest.mark.parametrize("bug", [False, True])
@@ -318,15 +318,15 @@
         spec = _long_job(1, 8) | {"oneZone": True, "expectedS": 300.0, "shape": shape}
         world.spawn(world.user(spec, 250.0))
         name = spec["nameId"]
-        await _wait_until(world, 60.0, lambda: len(world.of_job(name)) == 8)
+        await _wait_until(world, 60.0, lambda: len(world.present_of_job(name)) == 8)
         (zone,) = _zones(world, name)
         lost = _busy(world)[0]
         pool = ("small", zone, True)
         world.cloud.remove(lost)
         world.cloud.rooms[pool] = 0
         await asyncio.sleep(1.0)
-        assert 0 < len(world.of_job(name)) < 8 and _zones(world, name) == {zone}
-        await _wait_until(world, 120.0, lambda: len(world.of_job(name)) == 8)
+        assert 0 < len(world.present_of_job(name)) < 8 and _zones(world, name) == {zone}
+        await _wait_until(world, 120.0, lambda: len(world.present_of_job(name)) == 8)
         assert _zones(world, name) == {zone}
         if world.failure is not None:
             raise world.failure
@@ -365,16 +365,16 @@
         spec = _long_job(1, 7) | {"oneZone": True, "expectedS": 60.0}
         world.spawn(world.user(spec, None))
         name = spec["nameId"]
-        await _wait_until(world, 60.0, lambda: len(world.of_job(name)) == 7)
+        await _wait_until(world, 60.0, lambda: len(world.present_of_job(name)) == 7)
         (zone,) = _zones(world, name)
         other = next(z for z in world.ZONES if z != zone)  # the other zone has room meanwhile
         world.spawn(world.user(_long_job(2, 1) | {"site": other, "expectedS": 250.0}, None))
-        await _wait_until(world, 60.0, lambda: bool(world.of_job("run-000002")))
+        await _wait_until(world, 60.0, lambda: bool(world.present_of_job("run-000002")))
         for pool in world.cloud.rooms:
             if pool[1] == zone:
                 world.cloud.rooms[pool] = 0
         # One after the other: the remaining tasks bind the lost ones to the zone.
-        hosts = sorted({worker.name for worker, _ in world.of_job(name)})
+        hosts = sorted({worker.name for worker, _ in world.present_of_job(name)})
         assert len(hosts) == 2
         for host in hosts:
             if how == "gone":
@@ -420,12 +420,12 @@
         await _wait_until(world, 60.0, lambda: len(world.present()) == 2)
         world.spawn(world.user(_long_job(2, 1) | {"expectedS": 20.0}, None))
         name = "run-000002"
-        await _wait_until(world, 30.0, lambda: bool(world.of_job(name)))
-        worker, task = world.of_job(name)[0]
+        await _wait_until(world, 30.0, lambda: bool(world.present_of_job(name)))
+        worker, task = world.present_of_job(name)[0]
         worker._exit(task, "error")
         worker.changed.set()
         failed_at = world.now
-        await _wait_until(world, 89.0, lambda: bool(world.of_job(name)))
+        await _wait_until(world, 89.0, lambda: bool(world.present_of_job(name)))
         assert world.now > failed_at + 30.0  # not at once, as the machine may be faulty
         await _wait_until(world, 60.0, lambda: world.jobs[name]["over"] == "done")
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -198,7 +198,7 @@
     async def story(world: World) -> None:
         spec = _long_job(1, 4) | {"expectedS": 60.0}
         world.spawn(world.user(spec, None))
-        await _wait_until(world, 120.0, lambda: len(world.of_job(spec["nameId"])) == 4)
+        await _wait_until(world, 120.0, lambda: len(world.present_of_job(spec["nameId"])) == 4)
         name = world.present()[0][0].name
         worker = world.workers[name]
         seq, tenure = worker.seq, worker.tenure
--- a/tests/test_odd_requests.py
+++ b/tests/test_odd_requests.py
@@ -11,7 +11,7 @@
 
 from chalkgrade.machines.placement import eligible_zones
 from chalkgrade.record.jobs import SubmissionError, parse_submission
-from chalkgrade.region.askers import NEEDED
+from chalkgrade.region.adversarial_users import REQUIRED_FIELDS
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.world import World, tell
 from chalkgrade.serving.job_api import JobApi
@@ -29,7 +29,7 @@
 def _invalid_fields() -> list[tuple[str, Any]]:
     """Return each field in turn with values that it must not have."""
     out: list[tuple[str, Any]] = []
-    for field in NEEDED:
+    for field in REQUIRED_FIELDS:
         out += [(field, None), (field, []), (field, {})]
     out += [(field, 7) for field in TEXT_FIELDS]
     for field in NUMBER_FIELDS:
@@ -56,7 +56,7 @@
     assert field in str(found.value) and _is_plain_error(str(found.value))
 
 
-@pytest.mark.parametrize("field", NEEDED)
+@pytest.mark.parametrize("field", REQUIRED_FIELDS)
 def test_a_field_that_is_missing_is_named(field: str) -> None:
     """A required field must not get a default silently."""
     rest = {key: value for key, value in GOOD.items() if key != field}
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -219,8 +219,8 @@
 
     KINDS = 21
 
-    def trouble(self, kind: int, seconds: float) -> None:
-        super().trouble(kind if kind % 2 else 17 + kind // 2 % 4, seconds)
+    def start_trouble(self, kind: int, seconds: float) -> None:
+        super().start_trouble(kind if kind % 2 else 17 + kind // 2 % 4, seconds)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -228,8 +228,8 @@
     """All jobs finish, and users get answers, on a random day with many of these faults."""
     world = play(seed + 300, jobs=30, kind=OneWayFaults)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
-    assert world.silent_most < 20.0
-    assert max(world.largest_begin().values()) < 240.0
+    assert world.longest_silence_s < 20.0
+    assert max(world.largest_start_delays().values()) < 240.0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -256,22 +256,22 @@
     try:
         world.jobs["run-1"] = {"spec": spec_of("run-1"), "aborted": None, "accepted": True}
         loop._virtual.now = 1000.0
-        world.calm_from = 1000.0
+        world.calm_since = 1000.0
         for at in range(1000, 1075, 5):
             loop._virtual.now = float(at)
-            world.questioned("run-1", False)
+            world.record_poll("run-1", False)
         loop._virtual.now = 1074.0
-        world.questioned("run-1", True)
+        world.record_poll("run-1", True)
         loop._virtual.now = 1080.0
-        world.questioned("run-1", False)
+        world.record_poll("run-1", False)
         loop._virtual.now = 1154.0
-        world.questioned("run-1", False)
-        world.calm_from = 1150.0  # faults lasted until then
+        world.record_poll("run-1", False)
+        world.calm_since = 1150.0  # faults lasted until then
         loop._virtual.now = 1220.0
-        world.questioned("run-1", False)
+        world.record_poll("run-1", False)
         loop._virtual.now = 1226.0
         with pytest.raises(Broken, match="forgotten: nothing was told of run-1"):
-            world.questioned("run-1", False)
+            world.record_poll("run-1", False)
     finally:
         loop.close()
 
@@ -356,14 +356,16 @@
             while world.now < end:
                 await asyncio.sleep(world.rng.uniform(0.0, 0.04))
                 world.spawn(
-                    world.ask("GET", f"/v2/runs/run-{world.rng.randrange(10**6, 10**7)}", b"")
+                    world.send_request(
+                        "GET", f"/v2/runs/run-{world.rng.randrange(10**6, 10**7)}", b""
+                    )
                 )
 
         async def user(name: str) -> None:
             silent[name] = world.now
             while world.now < end:
                 await asyncio.sleep(world.rng.uniform(2.0, 5.0))
-                answer = await world.ask("GET", f"/v2/runs/{name}", b"")
+                answer = await world.send_request("GET", f"/v2/runs/{name}", b"")
                 if answer is not None and answer[0] == 200:
                     silent.pop(name)
                     return
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -342,9 +342,9 @@
                     break
         world.jobs["run-000001"]["asked"] = True
         while world.jobs["run-000001"]["aborted"] is None:
-            answer = await world.ask("POST", "/v2/runs/run-000001/abort", b"")
+            answer = await world.send_request("POST", "/v2/runs/run-000001/abort", b"")
             if answer is not None and answer[0] == 200:
-                world.heard("run-000001", answer[1])
+                world.record_status("run-000001", answer[1])
         told = world.now
         for member in world.leaders() if case in ("leader lost", "leader gone") else ():
             world.crash(member)
@@ -359,10 +359,10 @@
         right = 0
         while world.now < told + world.CANCEL_S + 12.0:
             name = world.rng.choice(names)
-            answer = await world.ask("GET", f"/v2/runs/{name}", b"")
+            answer = await world.send_request("GET", f"/v2/runs/{name}", b"")
             assert answer is None or answer[0] != 404
             if answer is not None and answer[0] == 200:
-                world.heard(name, answer[1])  # orphaned, went_back
+                world.record_status(name, answer[1])  # orphaned, went_back
                 right += answer[1]["status"] == "withdrawn"
             await asyncio.sleep(0.1)
         assert right > 20
@@ -414,13 +414,13 @@
         assert isinstance(world, Piped)
 
         async def trouble() -> None:
-            world.spawn(world.falls(world.luck.uniform(5.0, 50.0)))
+            world.spawn(world.falls(world.pipeline_rng.uniform(5.0, 50.0)))
             while world.now < 1080.0:
-                for member in world.luck.sample(world.members, len(world.members)):
-                    await asyncio.sleep(world.luck.uniform(0.5, 4.0))
-                    await world.restart(member, world.luck.uniform(0.05, 2.0))
-                slow = world.luck.choice(world.members)
-                world.loop.freeze(slow, world.now + world.luck.uniform(0.3, 2.5))
+                for member in world.pipeline_rng.sample(world.members, len(world.members)):
+                    await asyncio.sleep(world.pipeline_rng.uniform(0.5, 4.0))
+                    await world.restart(member, world.pipeline_rng.uniform(0.05, 2.0))
+                slow = world.pipeline_rng.choice(world.members)
+                world.loop.freeze(slow, world.now + world.pipeline_rng.uniform(0.3, 2.5))
 
         world.spawn(trouble())
 
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -33,7 +33,7 @@
         super().__init__(*args)
         self.cloud.quick_until = float("inf")
         self.moment = ""  # at which the leader ends, a few times
-        self.back = 3.0  # s; until it is back
+        self.restart_delay_s = 3.0  # s; until it is back
         self.met: list[str] = []  # moments that came about
         self.asked: dict[str, set[bytes]] = {}  # hire -> what was asked for under that name
         self.servers["state"] = self._state
@@ -44,7 +44,7 @@
         if moment != self.moment or len(self.met) >= 3 or member not in self.leaders():
             return False
         self.met.append(moment)
-        self.spawn(self.restart(member, self.back))
+        self.spawn(self.restart(member, self.restart_delay_s))
         return True
 
     async def _cloud(self, source: str, method: str, path: str, body: bytes) -> Any:
--- a/tests/test_reports_at_start.py
+++ b/tests/test_reports_at_start.py
@@ -80,10 +80,10 @@
         name = spec["nameId"]
 
         def runs() -> bool:
-            return any(task.status == "running" for _, task in world.of_job(name))
+            return any(task.status == "running" for _, task in world.present_of_job(name))
 
         await _wait_until(world, 90.0, runs)
-        worker, task = world.of_job(name)[0]
+        worker, task = world.present_of_job(name)[0]
         # Its session ends while it is cut off; the first report of the next one arrives at once.
         left = worker.lease_from + world.LEASE_S - world.now
         world.cut({worker.name}, set(world.members), left + 0.02, False)
@@ -92,7 +92,9 @@
         copy = worker.report()
         assert [e["cause"] for e in copy["tasks"] if e["task"] == task.name] == ["error"]
         await _wait_until(world, 30.0, lambda: worker.tenure > copy["tenure"] and runs())
-        assert world.of_job(name)[0][0] is worker  # the same attempt again, on the same machine
+        assert (
+            world.present_of_job(name)[0][0] is worker
+        )  # the same attempt again, on the same machine
         assert (task.name, task.number) in worker.tasks
         world.cut({worker.name}, set(world.members), 8.0, False)
         term = await _new_term(world)
@@ -231,10 +233,10 @@
 
     async def _go_on(self) -> None:
         while True:
-            await self.keep_for_next(1e6, 0.5)
+            await self.resend_to_next_leader(1e6, 0.5)
             await asyncio.sleep(0.2)
 
-    async def give(self, source: str, member: str, body: Any) -> None:
+    async def deliver_old_report(self, source: str, member: str, body: Any) -> None:
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         if not self.up(member):
             return
@@ -244,12 +246,12 @@
             heard = known is not None and known.reported_at is not None
             type(self).behind += heard
             type(self).first += not heard
-        self.given += 1
+        self.old_reports_delivered += 1
         await self.servers[member](source, "POST", "/hello", body)
 
-    def trouble(self, kind: int, seconds: float) -> None:
+    def start_trouble(self, kind: int, seconds: float) -> None:
         """Restricts faults to ends of leaders, cut off or failing machines, and other members."""
-        super().trouble([0, 1, 4, 8, 9, 10][kind % 6], seconds)
+        super().start_trouble([0, 1, 4, 8, 9, 10][kind % 6], seconds)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -257,9 +259,13 @@
     """All jobs finish although each new leader gets copies of old reports, often first."""
     CopiesForNextLeader.first = CopiesForNextLeader.behind = 0
     world = play(seed + 40, jobs=30, kind=CopiesForNextLeader)
-    assert world.given > 20 and CopiesForNextLeader.first and CopiesForNextLeader.behind
+    assert (
+        world.old_reports_delivered > 20
+        and CopiesForNextLeader.first
+        and CopiesForNextLeader.behind
+    )
     assert not [name for name, job in world.jobs.items() if not job["over"]]
-    assert world.silent_most < 75.0
+    assert world.longest_silence_s < 75.0
 
 
 @pytest.mark.parametrize("bug", [False, True])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -380,9 +380,9 @@
     summary = figures(world, broken)
     assert summary["verdict"] == "ok" and summary["unfinished"] == 0
     assert world.store.refused_calls == 0  # neither requests nor changes exceeded the limits
-    tokens = sorted(world.obeyed)
+    tokens = sorted(world.token_adoptions)
     assert len(tokens) > 3
-    ended = world.flapped_until
+    ended = world.last_flap_at
     assert any(ended < at < ended + 10.0 for at, _ in world.starts)
     urgent = [job["first"] - job["at"] for job in world.jobs.values()
               if job["at"] > ended + 10.0 and job["spec"]["jobclass"] == "urgent"]  # fmt: skip
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,13 +19,13 @@
 def _rolled(world: World) -> None:
     """From the version in production to this one, with troubles; new things only after that."""
     assert isinstance(world, Piped)
-    world.PIPED = 0.0
+    world.PIPELINE_SHARE = 0.0
     world.versions = dict.fromkeys(world.members, production())
 
     async def story() -> None:
-        await world.upgrade(world.luck.uniform(5, 20), (3.0, 15.0))
-        world.PIPED = 0.5
-        await world.falls(world.luck.uniform(0, 20))
+        await world.upgrade(world.pipeline_rng.uniform(5, 20), (3.0, 15.0))
+        world.PIPELINE_SHARE = 0.5
+        await world.falls(world.pipeline_rng.uniform(0, 20))
 
     world.spawn(story())
 
@@ -44,17 +44,17 @@
 
     def prepare(world: World) -> None:
         assert isinstance(world, Piped)
-        world.PIPED = 0.0
+        world.PIPELINE_SHARE = 0.0
 
         async def story() -> None:
             while world.now < 1110.0:
-                await asyncio.sleep(world.luck.uniform(4.0, 12.0))
-                for member in world.leaders() or world.luck.sample(world.members, 1):
-                    if world.luck.random() < 0.5:
+                await asyncio.sleep(world.pipeline_rng.uniform(4.0, 12.0))
+                for member in world.leaders() or world.pipeline_rng.sample(world.members, 1):
+                    if world.pipeline_rng.random() < 0.5:
                         world.versions[member] = production()
                     else:
                         world.versions.pop(member, None)
-                    await world.restart(member, world.luck.uniform(0.05, 3.0))
+                    await world.restart(member, world.pipeline_rng.uniform(0.05, 3.0))
 
         world.spawn(story())
 
@@ -76,7 +76,7 @@
 def test_limits_fall_at_any_moment_of_a_day(seed: int) -> None:
     def prepare(world: World) -> None:
         assert isinstance(world, Piped)
-        world.spawn(world.falls(world.luck.uniform(1, 60)))
+        world.spawn(world.falls(world.pipeline_rng.uniform(1, 60)))
 
     world = play(seed + 40, jobs=30, kind=Piped, prepare=prepare)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
@@ -114,7 +114,7 @@
 
     async def story(world: World) -> None:
         assert isinstance(world, Piped)
-        world.PIPED = 0.0
+        world.PIPELINE_SHARE = 0.0
         names = await _large_batches(world, jobs)
         # Beyond 9 KiB one can't be split by one commit of five changes of 2 KiB.
         assert max(_sizes(world)) > (4000 if jobs < 100 else 9216), _sizes(world)
