--- a/src/chalkgrade/region/adversarial_users.py
+++ b/src/chalkgrade/region/adversarial_users.py
@@ -1,4 +1,4 @@
-"""Users who make it hard: who cancel at the worst moment, look closely, or send nonsense."""
+"""Users that cancel at critical moments, query all controllers at once or send bad requests."""
 
 import asyncio
 from typing import Any
@@ -6,16 +6,16 @@
 from chalkgrade.region.rules import Broken
 from chalkgrade.region.users import Users
 
-CANCEL_WITHIN_S = 0.2  # s; within which users call off many jobs
-MIN_REMAINING_S = 5.0  # s of work that a task has left at least, of a job that has long to go
-MAX_HANGING_MACHINES = 8  # machines that hang while their jobs are called off
-CANCEL_AFTER_END_S = 0.05  # s; within which a job is called off after its last task ended
-CLOSE_CHECK_S = 0.02  # s; within which all controllers are asked
-QUERIES_PER_CONTROLLER = 3  # questions to each of them at one event
-CLOSE_CANCEL_SHARE = 0.1  # of those who look closely cancel at once
-ODD_REQUEST_INTERVAL_S = 0.3  # s; between two odd requests, on average
-INVALID_JOB_NUMBER = 700_000  # numbers of jobs that can't be accepted
-# What a submission must have: the other fields may be null, so they may be left out.
+CANCEL_WITHIN_S = 0.2  # time within which users cancel several jobs together
+MIN_REMAINING_S = 5.0  # least remaining work of a task in a job that is chosen
+MAX_HANGING_MACHINES = 8  # that hang while their jobs are cancelled
+CANCEL_AFTER_END_S = 0.05  # latest cancellation after a job's last task ended
+CLOSE_CHECK_S = 0.02  # time within which all controllers are queried
+QUERIES_PER_CONTROLLER = 3  # after one event
+CLOSE_CANCEL_SHARE = 0.1  # share of close checks in which the user also cancels
+ODD_REQUEST_INTERVAL_S = 0.3  # mean time between two odd requests
+INVALID_JOB_NUMBER = 700_000  # base of the numbers of invalid jobs
+# Fields that a submission must have; the others may be null, so they may be left out.
 REQUIRED_FIELDS = (
     "nameId", "jobclass", "owner", "shape", "urgency", "tasks", "vcpus", "gpus", "memoryGb",
     "bundle", "pullGb", "oneZone", "spread", "standby", "expectedS", "savepointS", "flushS",
@@ -26,27 +26,23 @@
 
 
 class AdversarialUsers(Users):
-    """What users do in the days' troubles; every answer is checked as others are."""
+    """User behaviour that faults of a day switch on; every answer is checked as usual."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.cancelling_at_end = (
-            0.0,
-            0.0,
-        )  # until when jobs are called off at their end, what share
+        # Until when jobs are cancelled as they end, and which share of them.
+        self.cancelling_at_end = (0.0, 0.0)
         self.odd_requests_until = self.close_checks_until = 0.0
-        self.invalid_submissions = 0  # number of the last job that can't be accepted
-        self.invalid_refusals: dict[
-            str, int
-        ] = {}  # what odd requests were answered, by what was odd
-        self.trouble_cancellations = 0  # jobs that a trouble's users called off
-        self.close_checks = 0  # events that were looked at closely
-        self.close_check_cancellations = 0  # jobs that were called off by who looked
+        self.invalid_submissions = 0  # number of invalid submissions so far
+        self.invalid_refusals: dict[str, int] = {}  # refused submissions by their defect
+        self.trouble_cancellations = 0  # cancellations started by users of this class
+        self.close_checks = 0  # events after which all controllers were queried
+        self.close_check_cancellations = 0  # cancellations during such checks
 
-    # -- cancellations at the worst moment ------------------------------------------
+    # -- cancellations at critical moments -------------------------------------------
 
     def max_remaining_s(self, name: str) -> float:
-        """The longest that a task of a job has left, of those that run; s."""
+        """The longest remaining work of a job's running tasks, in seconds; infinite for services."""
         return max((self._remaining_s(task) for _, task in self.present_of_job(name)), default=0.0)
 
     def _remaining_s(self, task: Any) -> float:
@@ -57,7 +53,10 @@
         return float(self.task_run_s[task.name] - task.saved_work_s - (self.now - task.began))
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
-        """Users call off jobs that run and have long to go; some of their machines hang."""
+        """Cancel up to `count` running jobs with much work left.
+
+        If `hang_s` is not 0, some of their machines hang for that many seconds.
+        """
         jobs = [
             name
             for name, job in self.jobs.items()
@@ -79,6 +78,7 @@
         await self.cancel_until_over(name)
 
     def on_job_completed(self, name: str) -> None:
+        """Cancel some jobs just as they end, and check the job closely."""
         super().on_job_completed(name)
         until, share = self.cancelling_at_end
         job = self.jobs[name]
@@ -92,15 +92,16 @@
         self.on_status_change(name)
 
     def record_status(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
+        """Check the status as usual; check the job closely when it is first over."""
         before = self.jobs[name]["over"]
         super().record_status(name, answer, asked)
         if before is None and self.jobs[name]["over"] is not None:
             self.on_status_change(name)
 
-    # -- close looks ------------------------------------------------------------------
+    # -- close checks -----------------------------------------------------------------
 
     def on_status_change(self, name: str) -> None:
-        """Ask all controllers within milliseconds, and submit the job again; some cancel."""
+        """Query all controllers within milliseconds and resubmit the job; some users cancel it."""
         if self.now >= self.close_checks_until:
             return
         self.close_checks += 1
@@ -126,7 +127,7 @@
     # -- odd requests -----------------------------------------------------------------
 
     async def send_odd_requests(self) -> None:
-        """Repeat, cancel what is over, and send what can't be accepted, until the time is up."""
+        """Resubmit open jobs, cancel ended ones and send invalid ones, until `odd_requests_until`."""
         while self.now < self.odd_requests_until:
             await asyncio.sleep(self.rng.uniform(0.0, 2 * ODD_REQUEST_INTERVAL_S))
             what = self.rng.randrange(3)
@@ -143,7 +144,7 @@
                 await self._submit_invalid()
 
     def _invalid_submission(self, number: int) -> tuple[str, dict[str, Any]]:
-        """A submission that can't be accepted, and what is wrong with it."""
+        """The name of a defect and an invalid submission that has it."""
         name = f"run-{number}"
         known = [job["spec"] for job in self.jobs.values()]
         good = dict(self.rng.choice(known)) if known else self.spec(number)
@@ -161,7 +162,7 @@
             flood = int(team.cpus_max) + 1
             wide = {"vcpus": 1.0, "tasks": flood, "shape": "service", "expectedS": 0.0}
             odd.append(("limit", good | {"owner": team.name} | wide))
-        # Each field that is needed in turn, between the sizes.
+        # Odd numbers leave out one required field after the other; even ones have other defects.
         at = number - INVALID_JOB_NUMBER
         if at % 2:
             field = REQUIRED_FIELDS[at // 2 % len(REQUIRED_FIELDS)]
--- a/src/chalkgrade/region/idle.py
+++ b/src/chalkgrade/region/idle.py
@@ -1,8 +1,8 @@
-"""Idle room: troubles over, no job may wait for long while a machine that fits has room for it.
+"""Checks that no job waits for long while a suitable machine has room for it (rule idle_room).
 
-Judged by what is on the machines, not by what the program believes of them. A machine's room
-counts once it has been there for some seconds: what frees up takes a report and a round to be
-given away, and belongs to whoever is next meanwhile.
+It applies while no fault is active, and looks at the tasks on the machines, not at the
+scheduler's view of them. Room counts once it has been free for some seconds: the scheduler needs
+a report and a scheduling round to use freed room, which may go to another job meanwhile.
 """
 
 from collections.abc import Iterable
@@ -12,29 +12,29 @@
 from chalkgrade.region.troubles import Troubles
 from chalkgrade.region.worker import Task, Worker
 
-CHECK_INTERVAL_S = 2.5  # s; between two looks at all machines
-ROOM_CHECKS = 5  # looks in a row at which room must be there: 10 s, some reports and rounds
-MAX_IDLE_ROOM_WAIT_S = (
-    90.0  # s; that a job may wait beside room that fits; from the page of real machines
-)
+CHECK_INTERVAL_S = 2.5  # between two checks of all machines
+ROOM_CHECKS = 5  # checks in a row that must find the room: 10 s, several reports and rounds
+# Longest wait of a job while there is room for it; from the page on real machines.
+MAX_IDLE_ROOM_WAIT_S = 90.0
 
 Room = tuple[float, float, float]  # CPUs, GPUs, memory in GB
 MachineKind = tuple[str, str, bool]  # machine type, zone, spot
 
 
 class MachineRoom(NamedTuple):
-    """A machine with room that has been there for a while."""
+    """A machine and the room that it has had for `ROOM_CHECKS` checks."""
 
     name: str
     room: Room
 
 
 def smaller_room(one: Room, other: Room) -> Room:
+    """The smaller of two rooms, resource by resource."""
     return min(one[0], other[0]), min(one[1], other[1]), min(one[2], other[2])
 
 
 def tasks_that_fit(room: Room, spec: dict[str, Any]) -> int:
-    """How many of a job's tasks fit into room."""
+    """How many of a job's tasks fit into the given room."""
     needs = (spec["vcpus"], spec["gpus"], spec["memoryGb"])
     parts = [
         int((there + CPU_TOLERANCE) // need)
@@ -45,25 +45,24 @@
 
 
 class IdleRoom:
-    """Looks at a world every now and then, and tells how long jobs wait beside room."""
+    """Measures how long jobs wait while machines have room for them."""
 
     def __init__(self, world: Troubles) -> None:
         self.world = world
         self.checked_at = world.now
-        self.rooms: dict[str, list[Room]] = {}  # machine -> its room at the last looks
-        self.team_cpus: list[dict[str, float]] = []  # team -> CPUs that it held at the last looks
-        self.tasks: dict[Task, dict[str, Any]] = {}  # those that machines held at the last look
-        self.waiting_since: dict[
-            str, float
-        ] = {}  # job -> since when it waits beside room all the time
-        # Job -> for how long it waited beside room in all, since a task of it started or failed.
+        self.rooms: dict[str, list[Room]] = {}  # machine -> its room at the last checks
+        self.team_cpus: list[dict[str, float]] = []  # team -> its CPUs at the last checks
+        self.tasks: dict[Task, dict[str, Any]] = {}  # tasks on machines at the last check
+        # Job -> start of its current uninterrupted wait while there is room.
+        self.waiting_since: dict[str, float] = {}
+        # Job -> its total wait while there was room, since a task of it last started or failed; s.
         self.total_waits: dict[str, float] = {}
-        self.attempts: dict[str, int] = {}  # job -> tasks that started, and attempts that failed
-        self.longest_wait_s = 0.0  # s; the longest that a job did
-        self.failed: dict[str, int] = {}  # job -> attempts that failed
+        self.attempts: dict[str, int] = {}  # job -> started tasks plus failed attempts
+        self.longest_wait_s = 0.0  # the longest of all jobs' waits
+        self.failed: dict[str, int] = {}  # job -> failed attempts at the last check
 
     def check(self) -> None:
-        """Once in `LOOK_S`; raises when a job has waited for too long."""
+        """Check all jobs, once in `CHECK_INTERVAL_S`; raises Broken when a job waited too long."""
         world = self.world
         if world.now < self.checked_at + CHECK_INTERVAL_S:
             return
@@ -89,8 +88,8 @@
                 or not self._should_run(name, job)
             ):
                 continue
-            # What fails has to be tried with care. What came up and went counts on, though:
-            # room that is given back before it is used is no excuse.
+            # A new failure restarts the wait, since failing jobs are retried slowly. A gap in the
+            # room doesn't: room that the scheduler gives up before using it still counts.
             careful = failed.get(name, 0) != self.failed.get(name, 0)
             tried = job.get("entered", 0) + failed.get(name, 0)
             sums[name] = (
@@ -109,10 +108,10 @@
         self.waiting_since, self.total_waits, self.failed = since, sums, failed
 
     def _should_run(self, name: str, job: dict[str, Any]) -> bool:
-        """Whether a job should run: cancelled, faulty, licensed and early ones aside."""
+        """Whether a job is ready to run; not if it is cancelled, licensed or meant to fail."""
         spec = job["spec"]
         if "at" not in job:
-            return False  # a test's own, which no controller was told of
+            return False  # added by a test and never submitted
         if spec["jobclass"] == "doomed" or spec.get("licences") or self.world.was_cancelled(job):
             return False
         tool = self.world.licensed_tool
@@ -123,11 +122,11 @@
     # -- machines ---------------------------------------------------------------------
 
     def _is_usable(self, worker: Worker) -> bool:
-        """Whether a machine is up, reports, and makes no tasks fail."""
+        """Whether a machine is up, not about to be preempted, and doesn't make tasks fail."""
         return worker.alive and not worker.sick and worker.warning is None
 
     def _find_lasting_room(self) -> dict[MachineKind, list[MachineRoom]]:
-        """Machines with room for some looks, by what decides who may have them."""
+        """Machines with room in each of the last `ROOM_CHECKS` checks, by kind."""
         rooms: dict[str, list[Room]] = {}
         spots: dict[MachineKind, list[MachineRoom]] = {}
         for name, worker in self.world.workers.items():
@@ -152,7 +151,7 @@
         return spots
 
     def _live_tasks(self) -> dict[str, list[tuple[Worker, Task]]]:
-        """By job, its tasks that machines hold, those that still fetch too."""
+        """Each job's tasks on machines, including those that still fetch their image."""
         out: dict[str, list[tuple[Worker, Task]]] = {}
         for worker in self.world.workers.values():
             for task in worker.tasks.values():
@@ -161,16 +160,17 @@
         return out
 
     def _cpus_by_team(self, tasks: dict[Task, dict[str, Any]]) -> dict[str, float]:
-        """CPUs of each team's tasks that machines hold now or held at the look before.
+        """CPUs by team of the given tasks: those on machines now or at the check before.
 
-        At its limit a team has some of its CPUs between two tasks at any moment.
+        A team at its limit always has some CPUs that are changing from one task to the next;
+        with one check alone they would look free.
         """
         out: dict[str, float] = {}
         for spec in tasks.values():
             out[spec["owner"]] = out.get(spec["owner"], 0.0) + spec["vcpus"]
         return out
 
-    # -- whether a job could go on -----------------------------------------------------
+    # -- placement of waiting tasks -----------------------------------------------------
 
     def _find_room(
         self,
@@ -178,7 +178,10 @@
         live: list[tuple[Worker, Task]],
         spots: dict[MachineKind, list[MachineRoom]],
     ) -> MachineRoom | None:
-        """A machine that could take one of a job's waiting tasks (a gang's: all of them)."""
+        """A machine with room for a waiting task of a job; None: none.
+
+        For a gang, there must be room for all of its waiting tasks.
+        """
         lacks = self._missing_tasks(spec, live)
         wanted = lacks if spec["shape"] == "gang" else 1
         if not lacks or not self._under_limit(spec, wanted):
@@ -186,7 +189,7 @@
         zones = sorted({zone for _, zone, _ in spots})
         there = [worker.zone for worker, _ in live]
         if spec["oneZone"]:
-            # Where some of it runs, or any one zone that has room.
+            # The zone in which its tasks run already, or else any single zone.
             choices: Iterable[list[str]] = [[zone] for zone in zones if not set(there) - {zone}]
         else:
             choices = [zones]
@@ -200,6 +203,7 @@
         self, spec: dict[str, Any], zones: list[str], there: list[str], wanted: int,
         spots: dict[MachineKind, list[MachineRoom]],
     ) -> MachineRoom | None:  # fmt: skip
+        """The first machine used if `wanted` tasks fit into these zones; None: they don't."""
         first: MachineRoom | None = None
         for zone in zones:
             may = spec["tasks"] if not spec["spread"] else (spec["tasks"] + 1) // 2
@@ -220,14 +224,14 @@
         return None
 
     def _missing_tasks(self, spec: dict[str, Any], live: list[tuple[Worker, Task]]) -> int:
-        """How many of its tasks are neither done nor on a machine."""
+        """How many of a job's tasks are neither done nor on a machine."""
         there = {task.name for _, task in live}
         name = spec["nameId"]
         done = self.world.jobs[name].get("finished", 0)
         return int(spec["tasks"] - done - sum(one not in self.world.done for one in there))
 
     def _under_limit(self, spec: dict[str, Any], wanted: int) -> bool:
-        """Whether its team has been under its limit for a while, by what would start."""
+        """Whether `wanted` more tasks would have kept the team within its limit at all checks."""
         most = self.world.limit(spec["owner"])
         held = max(row.get(spec["owner"], 0.0) for row in self.team_cpus)
         return not most or held + wanted * spec["vcpus"] <= most + CPU_TOLERANCE
@@ -235,7 +239,7 @@
     def _describe_wait(
         self, name: str, waited: float, live: list[tuple[Worker, Task]], spot: MachineRoom
     ) -> str:
-        """Everything that helps to find out why it waits."""
+        """The text of the Broken error, with details that help to find the cause."""
         spec = self.world.jobs[name]["spec"]
         kinds = {key: spec[key] for key in ("jobclass", "owner", "shape", "urgency", "vcpus")}
         holds = ", ".join(
--- a/src/chalkgrade/region/licences.py
+++ b/src/chalkgrade/region/licences.py
@@ -1,7 +1,7 @@
-"""A licence server, the people who use it too, and the tool that counts its seats.
+"""A simulated licence server, its other users, and the licensed tool that tasks run.
 
-The server is the stand-in for the protocol in docs/licences.md. The tool is the truth:
-a task that runs while all seats of its pool are taken fails partway through.
+The server implements the protocol in docs/licences.md. The tool counts the seats that are really
+in use: a task that starts while all seats of its pool are taken fails partway through.
 """
 
 import asyncio
@@ -13,42 +13,45 @@
 
 
 class Pool:
-    """One pool of the server: who holds which seat, and until when."""
+    """One pool of seats on the server, with the holders and expiry times of its leases."""
 
     def __init__(self, seats: int, ttl_s: float) -> None:
         self.seats, self.ttl_s = seats, ttl_s
-        self.held: dict[tuple[str, str], float] = {}  # holder and name -> until when
+        self.held: dict[tuple[str, str], float] = {}  # holder and name -> expiry time
         self.fences: dict[str, int] = {}
 
     def expire(self, now: float) -> None:
+        """Drop all leases that have expired."""
         for key in [key for key, until in self.held.items() if until < now]:
             del self.held[key]
 
     @property
     def free(self) -> int:
+        """Seats that nobody holds; negative if the seat count was lowered below that."""
         return self.seats - len(self.held)
 
 
 class LicenceServer:
-    """Checks out, renews and takes back seats; with faults to switch on."""
+    """Checks out, renews and returns seats; tests can switch on faults."""
 
     def __init__(self, world: History, pools: dict[str, tuple[int, float]]) -> None:
         self.world = world
         self.pools = {name: Pool(*made) for name, made in pools.items()}
         self.down_until = 0.0
-        self.slow_until = 0.0  # answers take seconds
-        self.nonsense_until = 0.0  # answers are nonsense
-        self.stale_until = 0.0  # lists are as they were
+        self.slow_until = 0.0  # answers take 0.5 to 4 s
+        self.nonsense_until = 0.0  # answers are malformed
+        self.stale_until = 0.0  # lists of seats are out of date
         self.lists: dict[str, dict[str, Any]] = {}
         self.requests = 0
         self.late = 0.0
 
     def restart(self) -> None:
-        """It restarts, and knows nobody any more."""
+        """Simulate a restart that loses all leases."""
         for pool in self.pools.values():
             pool.held.clear()
 
     async def handle(self, source: str, method: str, path: str, body: bytes) -> tuple[int, Any]:
+        """Answer a request: GET lists a pool's seats; else checkout, renewal or return."""
         world, now = self.world, self.world.now
         self.requests += 1
         if now < self.down_until:
@@ -89,26 +92,29 @@
 
 
 class LicensedTool:
-    """Who really runs under which pool: counted where tasks run, not by the server."""
+    """Counts the seats that running tasks use, independently of the licence server."""
 
     def __init__(self, world: History, seats: dict[str, int]) -> None:
         self.world = world
         self.server: LicenceServer | None = None
         self.seats = seats
-        self.needs: dict[str, dict[str, int]] = {}  # class -> pool -> seats a task
+        self.needs: dict[str, dict[str, int]] = {}  # job class -> pool -> seats per task
         self.running: dict[str, dict[Any, int]] = {pool: {} for pool in seats}
         self.people: dict[str, int] = dict.fromkeys(seats, 0)
         self.peak = dict.fromkeys(seats, 0)
-        self.unlicensed_failures = 0  # tasks that failed for want of a seat
-        self.used_seat_s = dict.fromkeys(seats, 0.0)  # seat seconds in use while work waits
-        self.available_seat_s = dict.fromkeys(seats, 0.0)  # seat seconds there are meanwhile
+        self.unlicensed_failures = 0  # tasks that failed because no seat was free
+        self.used_seat_s = dict.fromkeys(seats, 0.0)  # seat seconds used while work waits
+        self.available_seat_s = dict.fromkeys(
+            seats, 0.0
+        )  # seat seconds that could be used meanwhile
         self.since = world.now
 
     def seats_needed(self, spec: dict[str, Any]) -> dict[str, int]:
+        """Seats by pool that each task of a job needs."""
         return self.needs.get(spec["jobclass"], {})
 
     def start(self, task: Any) -> bool:
-        """Whether a task finds its seats; it holds them until `end`."""
+        """Take a task's seats, which it holds until `end`; False if too few are free."""
         need = self.seats_needed(task.spec)
         for pool, count in need.items():
             taken = sum(self.running[pool].values()) + self.people[pool]
@@ -121,11 +127,12 @@
         return True
 
     def end(self, task: Any) -> None:
+        """Give back a task's seats."""
         for pool in self.running.values():
             pool.pop(task, None)
 
     def count_seat_time(self) -> None:
-        """Count seat time, wherever work for the pool waits."""
+        """Add the time since the last call to the seat seconds of pools that have waiting work."""
         now, passed = self.world.now, self.world.now - self.since
         self.since = now
         waiting: dict[str, int] = dict.fromkeys(self.seats, 0)
@@ -139,7 +146,7 @@
                 waiting[pool] += count * (spec["tasks"] - done)
         for pool, seats in self.seats.items():
             ours = sum(self.running[pool].values())
-            server = self.server  # it may have lowered its count
+            server = self.server  # its seat count may have been lowered
             seats = min(seats, server.pools[pool].seats) if server is not None else seats
             there = min(seats - self.people[pool], waiting[pool])
             if waiting[pool] > ours and there > 0:
@@ -147,7 +154,7 @@
                 self.available_seat_s[pool] += there * passed
 
     async def simulate_people(self, server: LicenceServer, pool: str, until: float) -> None:
-        """People take and give back seats, as the server lets them."""
+        """Simulate people who check out seats of a pool and return them, until the given time."""
         rng, number = self.world.rng, 0
         while self.world.now < until:
             await asyncio.sleep(rng.uniform(2.0, 8.0))
--- a/src/chalkgrade/region/rules.py
+++ b/src/chalkgrade/region/rules.py
@@ -1,6 +1,7 @@
-"""What a region's rules are, and the history that they are judged by.
+"""The rules that a simulated region must keep, and the history that they are checked against.
 
-Fed by what workers do and users hear, never by what the program says of itself.
+The history records what workers do and what users are told, never what the scheduler reports
+about itself.
 """
 
 import math
@@ -8,27 +9,27 @@
 
 from chalkgrade.region.ground import Ground
 
-MAX_SILENCE_S = 75.0  # s; a job of which nothing is told for so long is forgotten, troubles over
-LARGEST_JOBS_SHARE = 0.1  # of a class's jobs: those that ask for most CPUs
-MAX_LARGEST_START_DELAY_S = 240.0  # s; within which they begin
-MIN_SERVED_SHARE = 0.5  # of any class's or team's jobs; below this a day counts as failed
-START_TIME_S = 1000.0  # s; the region's clock at its start
-CPU_TOLERANCE = 1e-6  # CPUs; sums of fractions drift
+MAX_SILENCE_S = 75.0  # without an answer about a job, faults over, it counts as forgotten
+LARGEST_JOBS_SHARE = 0.1  # share of a class's jobs, by requested CPUs
+MAX_LARGEST_START_DELAY_S = 240.0  # within which each of them must start
+MIN_SERVED_SHARE = 0.5  # of a class's or team's jobs; a day with less has failed
+START_TIME_S = 1000.0  # the virtual clock at the start of a run
+CPU_TOLERANCE = 1e-6  # sums of fractional CPUs have rounding errors
 
 
 class Broken(AssertionError):
-    """A rule of the protocol was broken."""
+    """Raised when a rule of the protocol is broken; the text begins with the rule's name."""
 
 
 class StartedTask(Protocol):
-    """A task on a worker."""
+    """A task on a worker, as far as the rules need it."""
 
     name: str
     spec: dict[str, Any]
 
 
 class Host(Protocol):
-    """A machine's agent."""
+    """A machine's agent, as far as the rules need it."""
 
     name: str
     zone: str
@@ -37,47 +38,47 @@
 
 
 class History(Ground):
-    """Jobs, what became of them, and who is where; breaches raise Broken at once."""
+    """All jobs, their outcomes and the running tasks; raises Broken as soon as a rule is broken."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.jobs: dict[str, dict[str, Any]] = {}
         self.done: set[str] = set()
-        self.task_run_s: dict[str, float] = {}  # s that a task takes in all
-        self.progress: dict[str, float] = {}  # s of it that are saved
-        self.lost_work_s = 0.0  # s of work that were done and are not saved
+        self.task_run_s: dict[str, float] = {}  # total run time by task
+        self.progress: dict[str, float] = {}  # seconds of it that are checkpointed
+        self.lost_work_s = 0.0  # work that was done but not checkpointed
         self.started = self.refusals = self.polls = 0
-        self.calm_since = START_TIME_S  # since when no trouble lasts
+        self.calm_since = START_TIME_S  # time since which no fault is active
         self.max_stop_delay_s = (
-            0.0  # s; the longest that a task was there after its cancellation was told
+            0.0  # longest presence of a task after a user was told of its cancellation
         )
-        self.longest_silence_s = 0.0  # s; the longest for which a job's questions met silence
-        self.first_used_at: dict[str, float] = {}  # when machines were first given work
-        self.unrequested_stops: list[float] = []  # when work was stopped that nobody had aborted
-        self.failures: dict[str, int] = {}  # job -> attempts of it that failed
-        self.starts_after_cancel = 0  # after a user was told that the job is cancelled
-        self.lease_ends = 0  # tasks that a lease's end has killed
-        self.licensed_tool: Any = None  # a licensed tool that counts its seats, where there is one
-        self.starts: list[tuple[float, int]] = []  # when tasks started, and under which token
-        self.token_adoptions: dict[
-            int, dict[str, float]
-        ] = {}  # token -> when machines first obeyed it
+        self.longest_silence_s = 0.0  # longest time for which polls of a job got no answer
+        self.first_used_at: dict[str, float] = {}  # machine -> time of its first launch order
+        self.unrequested_stops: list[float] = []  # times when tasks of unaborted jobs were killed
+        self.failures: dict[str, int] = {}  # job -> its failed attempts
+        self.starts_after_cancel = 0  # starts after a user was told of the cancellation
+        self.lease_ends = 0  # tasks killed when a machine's lease expired
+        self.licensed_tool: Any = None  # the LicensedTool, where a run has one
+        self.starts: list[tuple[float, int]] = []  # start time and leader token
+        # Token -> machine -> time when it first accepted the token.
+        self.token_adoptions: dict[int, dict[str, float]] = {}
         self._teams = {team.name: team for team in self.settings.cluster.teams}
-        self._worker_of: dict[Any, Any] = {}  # present task -> its worker
+        self._worker_of: dict[Any, Any] = {}  # running task -> its worker
         self._of_job: dict[str, dict[Any, Any]] = {}
         self._team_cpus: dict[str, float] = {}  # CPUs by team
 
-    # -- who is where ---------------------------------------------------------------
+    # -- running tasks --------------------------------------------------------------
 
     def present(self) -> list[tuple[Any, Any]]:
-        """Workers and tasks that are on them, in the order in which they came."""
+        """Pairs of worker and task for all present tasks, in the order of their starts."""
         return [(worker, task) for task, worker in self._worker_of.items()]
 
     def present_of_job(self, name: str) -> list[tuple[Any, Any]]:
+        """Pairs of worker and task for a job's present tasks."""
         return [(worker, task) for task, worker in self._of_job.get(name, {}).items()]
 
     def enter(self, worker: Host, task: StartedTask) -> None:
-        """A task holds its image: it counts as present from now on."""
+        """Record that a task has its image and is present from now on; checks the start rules."""
         self.check_start(worker, task)
         owner = task.spec["owner"]
         self._worker_of[task] = worker
@@ -90,7 +91,7 @@
         self.starts_after_cancel += job["aborted"] is not None
 
     def leave(self, task: StartedTask) -> None:
-        """It is gone from its machine, if it was there."""
+        """Record that a task has left its machine; no effect when it was not present."""
         if self._worker_of.pop(task, None) is not None:
             told = self.jobs[task.spec["nameId"]]["aborted"]
             if told is not None:
@@ -99,13 +100,13 @@
             self._team_cpus[task.spec["owner"]] -= task.spec["vcpus"]
 
     def limit(self, owner: str) -> float:
-        """CPUs that a team may use at most; 0: any number."""
+        """The most CPUs that a team may use; 0 means no limit."""
         return float(self._teams[owner].cpus_max)
 
     # -- rules ----------------------------------------------------------------------
 
     def check_start(self, worker: Host, task: StartedTask) -> None:
-        """The rules at the moment in which a task starts."""
+        """Check all rules that apply when a task starts."""
         spec, name = task.spec, task.name
         kin = self.present_of_job(spec["nameId"])
         for other, twin in kin:
@@ -131,7 +132,7 @@
         self.check_cancelled(worker, task)
 
     def finish(self, task: str) -> None:
-        """A task is completed, maybe once more."""
+        """Record a completed task; repeated calls have no effect."""
         if task in self.done:
             return
         self.done.add(task)
@@ -142,14 +143,14 @@
             self.on_job_completed(task.rpartition("/")[0])
 
     def on_job_completed(self, name: str) -> None:
-        """The last task of a job was completed: users may act on it."""
+        """Hook, called when the last task of a job is completed."""
 
     def completed(self, name: str) -> bool:
-        """Whether every task of a job is done."""
+        """Whether every task of a job is completed."""
         return "completed_at" in self.jobs[name]
 
     def dependencies_of(self, name: str) -> list[dict[str, Any]]:
-        """All jobs that one needs, directly or through others."""
+        """All jobs that a job depends on, directly or transitively."""
         found: dict[str, None] = {}
         stack = [name]
         while stack:
@@ -160,22 +161,24 @@
         return [self.jobs[one] for one in found]
 
     def check_cancelled(self, worker: Host, task: StartedTask) -> None:
+        """Check that a task of a cancelled job is not present after `CANCEL_S` seconds."""
         told = self.jobs[task.spec["nameId"]]["aborted"]
         if told is not None and self.now > told + self.CANCEL_S:
             raise Broken(f"ran_cancelled: {task.name} on {worker.name}")
 
     def check_all_cancelled(self) -> None:
+        """Check `check_cancelled` for every present task."""
         for task, worker in self._worker_of.items():
             self.check_cancelled(worker, task)
 
     def check_answer(self, name: str, asked: float, answer: tuple[int, Any] | None) -> None:
-        """A user who asked at a time has an answer about a job; None: there was none."""
+        """Check the answer to a request about a job sent at `asked`; None means no answer came."""
         if answer is None:
             return
         if answer[0] in (200, 201):
             self.record_status(name, answer[1], asked)
         elif answer[0] in (400, 404, 422):
-            # Whoever knows of a job never calls it unknown, and takes it again.
+            # An accepted job is never reported as unknown, and may always be submitted again.
             before = self._status_known_at(name, asked)
             if before is not None:
                 raise Broken(f"forgotten: {name} was {before}, now {answer[0]} {answer[1]}")
@@ -183,15 +186,15 @@
                 raise Broken(f"{name} refused: {answer}")
 
     def _status_known_at(self, name: str, asked: float) -> str | None:
-        """The furthest that some user had been told of a job when a question was asked.
+        """The latest status of a job that any user had received before a request was sent.
 
-        Two users' answers may cross on their way, so only what had come by then counts.
+        Answers to two users may overtake each other, so only earlier arrivals count.
         """
         came = self.jobs[name].get("came", ())
         return next((status for status, at in reversed(came) if at < asked), None)
 
     def record_status(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
-        """A user was told a job's status; `asked`: when the question was, now if not said."""
+        """Check a job status that a user received; `asked` is when it was requested (default: now)."""
         job, status = self.jobs[name], answer["status"]
         asked = self.now if asked is None else asked
         final = status in ("done", "withdrawn")
@@ -206,7 +209,7 @@
         before = self.dependencies_of(name)
         if status in ("pending", "running"):
             times = [b["aborted"] for b in before if b["aborted"] is not None]
-            # One that names a cancelled job is accepted all the same: it counts from then.
+            # A job that depends on a cancelled one is accepted too: its time starts there.
             if times and self.now > max(min(times), job["at"]) + self.CANCEL_S + CPU_TOLERANCE:
                 raise Broken(f"orphaned: {name} is called {status}")
         if status == "withdrawn":
@@ -220,7 +223,7 @@
             job["over"] = status
 
     def record_poll(self, name: str, told: bool) -> None:
-        """A user asked about an accepted job, and was told of it or not."""
+        """Check that polls of an accepted job get answers; `told`: whether this one did."""
         job = self.jobs[name]
         if told or self.was_cancelled(job):
             job["silent"] = None
@@ -232,17 +235,17 @@
         if silent > MAX_SILENCE_S:
             raise Broken(f"forgotten: nothing was told of {name} for {silent:.0f} s")
 
-    # -- what was served ------------------------------------------------------------
+    # -- service quality ------------------------------------------------------------
 
     def was_cancelled(self, job: dict[str, Any]) -> bool:
-        """Whether it was cancelled, or a job that it needs was."""
+        """Whether a user asked to cancel the job or one that it depends on."""
         before = self.dependencies_of(job["spec"]["nameId"])
         return any(one.get("asked") for one in (job, *before))
 
     def served(self, by: str) -> dict[str, float]:
-        """Share of jobs done and told, by `jobclass` or `owner`; aborted ones aside.
+        """Share of jobs whose user was told `done`, by `jobclass` or `owner`, without aborted ones.
 
-        A service's job is served once all of its replicas run, or have run.
+        A service job counts as served once each of its replicas has run.
         """
         all_of: dict[str, int] = {}
         good: dict[str, int] = {}
@@ -256,7 +259,7 @@
         return {key: good[key] / count for key, count in sorted(all_of.items())}
 
     def largest_jobs(self) -> dict[str, list[dict[str, Any]]]:
-        """By class, the jobs that ask for most CPUs; those that were cancelled aside."""
+        """By class, the jobs that request the most CPUs, without cancelled ones."""
         of_class: dict[str, list[dict[str, Any]]] = {}
         for job in self.jobs.values():
             if job.get("accepted") and not self.was_cancelled(job):
@@ -268,14 +271,14 @@
         return out
 
     def ready_at(self, job: dict[str, Any]) -> float | None:
-        """When a job could run: accepted, and all that it waits for done; None: not yet."""
+        """When a job became ready: submitted and all dependencies completed; None: not yet."""
         names = job["spec"].get("waitsOn") or ()
         if not all(self.completed(name) for name in names):
             return None
         return float(max([job["at"], *(self.jobs[name]["completed_at"] for name in names)]))
 
     def largest_start_delays(self) -> dict[str, float]:
-        """By class, the longest that one of the largest jobs waited for its first task; s."""
+        """By class, the longest delay in seconds from readiness to first task of a largest job."""
         out: dict[str, float] = {}
         for key, jobs in self.largest_jobs().items():
             for job in jobs:
@@ -285,13 +288,13 @@
         return out
 
     def could(self, by: str) -> dict[str, float]:
-        """What share of each `jobclass` or `owner` could be served at best, fairly: at most 1.
+        """Upper bound, at most 1, on the share of each `jobclass` or `owner` that can be served.
 
-        All machines that the cloud has, from the first second to now, without boots,
-        fetches or failures, give so many CPU-seconds; teams' maxima bound what each may
-        use of them. They are dealt out evenly, nobody getting more than was asked (tasks
-        times CPUs times the mean run time, 1.25 times the estimate), so that 1 means that
-        all was possible, and less that the day asked for more than there was.
+        The capacity is the CPU-seconds of all machines of the cloud from the start until now,
+        without boots, image fetches or failures; each team is bounded by its maximum. It is
+        divided evenly, and nobody gets more than the demand (tasks times CPUs times the mean
+        run time, 1.25 times the estimate). 1 means that all work could be done; less means
+        that the demand exceeded the capacity.
         """
         lasted = self.now - START_TIME_S
         sizes = {flavor["sku"]: flavor["vcpus"] for flavor in self.FLAVORS}
@@ -319,7 +322,10 @@
         return out
 
     def unserved(self) -> list[str]:
-        """Classes and teams of which less than half of what could be was served: it fails."""
+        """Classes and teams that got less than half of the possible service, as texts.
+
+        Also classes whose largest jobs were not served or started too late. Empty: passed.
+        """
         out = []
         for key, largest in self.largest_jobs().items():
             share = self.could("jobclass").get(key, 1.0)
--- a/src/chalkgrade/region/troubles.py
+++ b/src/chalkgrade/region/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a region: troubles that are drawn, and faults that a day sets."""
+"""Faults of a simulated region: drawn at random, or set at fixed times by a day."""
 
 import asyncio
 from typing import Any
@@ -11,36 +11,34 @@
 from chalkgrade.region.worker import Worker
 from chalkgrade.state.leadership import LEADER_KEY
 
-LEADER_CHECK_INTERVAL_S = 0.01  # s; between two looks at whether a new leader has begun
-OLD_REPORTS_WITHIN_S = 1.0  # s; within which it gets the copies that were kept for it
+LEADER_CHECK_INTERVAL_S = 0.01  # between two checks for a new leader
+OLD_REPORTS_WITHIN_S = 1.0  # time within which a new leader gets saved reports
 
 
 class Troubles(AdversarialUsers):
-    """Crashes, cuts, silences and outages over a region's controllers, machines and services."""
+    """Injects crashes, network cuts, one-way losses and outages into a simulated region."""
 
-    KINDS = 17  # of trouble that are drawn
+    KINDS = 17  # number of fault kinds that are drawn at random
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.store, self.cloud = Store(self), Cloud(self)
         self.workers: dict[str, Worker] = self.cloud.workers
         self.storm_until = 0.0
-        self.old_reports_delivered, self.old_reports_until = (
-            0,
-            0.0,
-        )  # kept copies that a new leader got; until when
-        self.last_flap_at = 0.0  # when a process of a loop of crashes was last started
+        # Saved reports that a new leader got, and until when it may get some.
+        self.old_reports_delivered, self.old_reports_until = 0, 0.0
+        self.last_flap_at = 0.0  # last restart within a crash loop
 
     def leaders(self) -> list[str]:
-        """Who holds the lead by its own word."""
+        """Controllers that consider themselves the leader."""
         raise NotImplementedError
 
     def waiting_reason(self, jobclass: str) -> str:
-        """Why a class waits, in the leader's own words: for people, no rule goes by it."""
+        """Why a class waits, as the leader reports it; only for texts, no rule depends on it."""
         raise NotImplementedError
 
     def crash(self, member: str) -> None:
-        """End a controller without a signal."""
+        """Kill a controller without a shutdown signal."""
         raise NotImplementedError
 
     def boot(self, member: str) -> None:
@@ -48,26 +46,27 @@
         raise NotImplementedError
 
     async def restart(self, member: str, after: float) -> None:
+        """Crash a controller and start it again after this many seconds."""
         self.crash(member)
         await asyncio.sleep(after)
         if not self.up(member):
             self.boot(member)
 
     async def flap(self, member: str, times: int, every: float, after: float) -> None:
-        """A loop of crashes: each process lives for a third to 5/3 of `every`; all in s."""
+        """Crash a controller repeatedly; each process lives for 1/3 to 5/3 of `every` (seconds)."""
         for _ in range(times):
             await self.restart(member, after)
             self.last_flap_at = self.now
             await asyncio.sleep(every * self.rng.uniform(1 / 3, 5 / 3))
 
     def is_troubled(self) -> bool:
-        """Whether anything is in trouble now, or a process has just come back."""
+        """Whether any fault is active now, or a controller is down."""
         now, store = self.now, self.store
         cut = any(row[2] > now for row in self.cuts)
         state = now < max(store.outage_until, store.slow[1], *store.refused.values(), 0.0)
         frozen = any(until > now for until in self.loop.frozen.values())
         down = any(not self.up(member) for member in self.members)
-        # A late transaction or copy may still come after the last one was held up.
+        # A delayed transaction or copy may still arrive after the last one was delayed.
         until, _, (_, most) = store.late
         held = until > 0 and now < until + most
         lasting = held or now < max(self.copies[0], self.last_flap_at)
@@ -80,7 +79,7 @@
         return cut or state or frozen or down or lasting or copied or mute or users or quick
 
     async def election(self, times: int, every: float) -> None:
-        """Restarts within a fraction of a second at every step of finding a leader; s."""
+        """Restart controllers at every step of leader elections, `every` seconds apart at most."""
         for _ in range(times):
             for member in self.leaders() or self.members[:1]:
                 self.spawn(self.restart(member, self.rng.uniform(*constants.BACK_SOON_S)))
@@ -91,15 +90,18 @@
             await asyncio.sleep(self.rng.uniform(0.0, every))
 
     def deafen(self, names: set[str], seconds: float) -> None:
-        """These machines' reports arrive, but nothing that is sent to them does."""
+        """Drop everything that is sent to these machines; their own reports arrive."""
         self.cut({*self.members, "users"}, names, seconds, False, one_way=True)
 
     def mute(self, names: set[str], seconds: float) -> None:
-        """These machines reach no controller; what controllers ask or tell them arrives."""
+        """Drop reports of these machines; requests of controllers to them arrive."""
         self.muted |= dict.fromkeys(sorted(names), self.now + seconds)
 
     async def resend_to_next_leader(self, seconds: float, share: float) -> None:
-        """Copies of reports reach every controller in the first second of the next leader."""
+        """Save copies of reports and deliver them to all controllers once a new leader starts.
+
+        The copies arrive within the first second of that leader.
+        """
         stamp = self._leader_revision()
         self.keeps = (self.now + seconds, share)
         while stamp == self._leader_revision() or not self._leader_revision():
@@ -113,33 +115,38 @@
                     self.spawn(self.deliver_old_report(source, member, body))
 
     def _leader_revision(self) -> int:
-        """The revision at which the present leader's key was written; 0: nobody leads."""
+        """The revision at which the current leader's key was written; 0 without a leader."""
         return self.store.keys[LEADER_KEY][1] if LEADER_KEY in self.store.keys else 0
 
     async def deliver_old_report(self, source: str, member: str, body: Any) -> None:
-        """An old report arrives at a controller while a leader has just begun."""
+        """Deliver a saved report to a controller within the first second of a leader."""
         await asyncio.sleep(self.rng.uniform(0.0, OLD_REPORTS_WITHIN_S))
         if self.up(member):
             await self.servers[member](source, "POST", "/hello", body)
             self.old_reports_delivered += 1
 
     def isolate(self, member: str, seconds: float, hold: bool) -> None:
-        """A controller without the state service and the others, but with its workers."""
+        """Cut a controller off from the state service and its peers, but not from the workers."""
         self.cut({member}, {*self.members, "state"} - {member}, seconds, hold)
 
     def restart_delay_s(self) -> float:
-        """After how long a process that ended is back: at once or after a while; s."""
+        """A random delay in seconds before a crashed process restarts: short or long."""
         soon = self.rng.random() < 0.5
         return self.rng.uniform(*(constants.BACK_SOON_S if soon else constants.BACK_LATE_S))
 
-    # -- drawn ----------------------------------------------------------------------
+    # -- random faults --------------------------------------------------------------
 
     async def run_troubles(self, until: float) -> None:
+        """Start random faults, one in 9 s on average, until the given time."""
         while self.now < until:
             await asyncio.sleep(self.rng.expovariate(1 / 9.0))
             self.start_trouble(self.rng.randrange(self.KINDS), self.rng.uniform(3, 25))
 
     def start_trouble(self, kind: int, seconds: float) -> None:
+        """Start one fault of the given kind for about this many seconds.
+
+        Kinds from `KINDS` up are not drawn here; subclasses use them.
+        """
         rng, nodes = self.rng, sorted(self.members)
         leaders = self.leaders()
         member = rng.choice(leaders or nodes)
@@ -210,7 +217,7 @@
             self.spawn(self.election(rng.randint(2, 8), rng.choice([0.1, 0.5, 2.0])))
 
     async def _query_rapidly(self) -> None:
-        """A user who asks many times as often, for known and unknown jobs."""
+        """A user that polls known and unknown jobs many times as often as usual."""
         while self.now < self.storm_until:
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
             known = [name for name, job in self.jobs.items() if job["accepted"]]
--- a/src/chalkgrade/region/users.py
+++ b/src/chalkgrade/region/users.py
@@ -1,4 +1,4 @@
-"""The users of a region: what they submit, how they ask, and what they are told."""
+"""Simulated users: they submit, poll and cancel jobs, and check every answer."""
 
 import asyncio
 import random
@@ -7,17 +7,18 @@
 from chalkgrade.outside import NoAnswer
 from chalkgrade.region.rules import Broken, History
 
-POLL_INTERVAL_S = (2.0, 5.0)  # s; between two looks at a job
-POLL_OVER_INTERVAL_S = (10.0, 40.0)  # s; the same once it has been over for a while
-POLL_SLOWER_AFTER_S = 15.0
+POLL_INTERVAL_S = (2.0, 5.0)  # range of the time between two polls of a job
+POLL_OVER_INTERVAL_S = (10.0, 40.0)  # the same for a job that ended a while ago
+POLL_SLOWER_AFTER_S = 15.0  # after the end of a job
 
 
 class Users(History):
-    """Users behind a load balancer; every answer is checked."""
+    """Users whose requests go to any live controller; every answer is checked."""
 
-    PIPELINE_SHARE = 0.0  # share of jobs that name earlier ones, where nothing else says so
+    PIPELINE_SHARE = 0.0  # default share of jobs that depend on earlier ones
 
     def spec(self, number: int, **changes: Any) -> dict[str, Any]:
+        """A random job submission with this number; `changes` override its fields."""
         rng = self.rng
         kind = rng.random()
         base = {
@@ -70,11 +71,14 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        # Its own, so that pipelines change nothing else that a seed draws.
+        # A separate generator, so that pipelines don't change the other draws of a seed.
         self.pipeline_rng = random.Random(args[1])
 
     async def user(self, spec: dict[str, Any], abort_after: float | None) -> None:
-        """Submit, poll until it is over, sometimes abort; every answer is checked."""
+        """Submit a job until it is accepted, then poll it forever.
+
+        If `abort_after` is given, the job is cancelled that many seconds after its acceptance.
+        """
         name = spec["nameId"]
         if (
             self.PIPELINE_SHARE
@@ -101,7 +105,7 @@
             self.record_poll(name, answer is not None and answer[0] == 200)
             if self.rng.random() < 0.1:
                 await self.submit(name)
-            # Who knows the end looks again, but not at once: thousands of jobs are over.
+            # Ended jobs are polled more slowly, since a run has thousands of them.
             rest = (
                 POLL_OVER_INTERVAL_S
                 if job["over"] and self.now > job["over_at"] + POLL_SLOWER_AFTER_S
@@ -109,20 +113,20 @@
             )
             await asyncio.sleep(self.rng.uniform(*rest))
 
-    # Every question about a job goes through these three, and every answer through the rules.
+    # All requests about a job go through these three, so that each answer is checked.
 
     async def submit(self, name: str, member: str = "") -> tuple[int, Any] | None:
-        """Submit a job, for the first time or again."""
+        """Submit a job, for the first time or repeatedly; None: no answer."""
         return await self._checked_request(
             name, "POST", "/v2/runs", self.jobs[name]["spec"], member
         )
 
     async def query_status(self, name: str, member: str = "") -> tuple[int, Any] | None:
-        """Ask for a job's status."""
+        """Request a job's status; None: no answer."""
         return await self._checked_request(name, "GET", f"/v2/runs/{name}", b"", member)
 
     async def abort(self, name: str, member: str = "") -> tuple[int, Any] | None:
-        """Ask for a job's end."""
+        """Request a job's cancellation; None: no answer."""
         return await self._checked_request(name, "POST", f"/v2/runs/{name}/abort", b"", member)
 
     async def _checked_request(
@@ -134,7 +138,7 @@
         return answer
 
     async def cancel_until_over(self, name: str) -> None:
-        """Cancel a job, again and again until it is told that the job is over."""
+        """Request a job's cancellation every second until a user is told that it is over."""
         job = self.jobs[name]
         while job["over"] is None:
             job["asked"] = True
@@ -142,10 +146,10 @@
             await asyncio.sleep(1.0)
 
     def on_status_change(self, name: str) -> None:
-        """Something was told of a job, or it ended: some users look at once."""
+        """Hook, called when a job is accepted, ends or is reported as over."""
 
     def choose_dependencies(self, spec: dict[str, Any]) -> list[str]:
-        """Some accepted jobs, in any state, that a job may wait for."""
+        """Random accepted jobs, in any state, for a job to depend on."""
         known = [
             name
             for name, job in self.jobs.items()
@@ -156,6 +160,7 @@
         )
 
     async def query_unknown_jobs(self) -> None:
+        """Query jobs that were never submitted, and submit jobs that depend on those."""
         while True:
             name = f"run-{self.rng.randrange(900000, 999999)}"
             if self.PIPELINE_SHARE:
@@ -173,7 +178,7 @@
     async def send_request(
         self, method: str, path: str, body: Any, member: str = ""
     ) -> tuple[int, Any] | None:
-        """One question to a controller, any that is up where none is named."""
+        """Send a request to `member`, or to a random live controller; None: no answer."""
         up = [member for member in self.members if self.up(member)]
         if not up:
             return None
--- a/src/chalkgrade/region/worker.py
+++ b/src/chalkgrade/region/worker.py
@@ -1,4 +1,4 @@
-"""Machines' agents, as the protocol describes them, and the tasks on them."""
+"""Simulated machine agents, as the protocol describes them, and their tasks."""
 
 import asyncio
 import contextvars
@@ -12,26 +12,27 @@
 from chalkgrade.region.rules import History
 
 WORKER_PORT = 9000
-ANSWER_TIMEOUT_S = 4.0  # s; an answer that takes longer is dropped; from the protocol
+ANSWER_TIMEOUT_S = 4.0  # set by the protocol; a later answer is dropped
 
 
 class Task:
-    """A task on a worker."""
+    """One attempt of a task on a worker."""
 
     def __init__(self, name: str, number: int, spec: dict[str, Any]) -> None:
         self.name, self.number, self.spec = name, number, spec
         self.status, self.kept = "fetching", False
         self.cause: str | None = None
         self.timers: list[asyncio.Task[None]] = []
-        self.began = self.saved_work_s = 0.0  # when its work began, and what had been done before
+        self.began = self.saved_work_s = 0.0  # start of its work; seconds checkpointed before
 
     @property
     def present(self) -> bool:
+        """Whether the task has its image and has not ended."""
         return self.status in ("waiting", "running", "saving")
 
 
 class Worker:
-    """One machine's agent, as the protocol describes it."""
+    """The agent of one machine, with its lease, reports and tasks."""
 
     def __init__(self, world: History, machine: dict[str, Any], flavor: dict[str, Any]) -> None:
         self.world, self.machine, self.flavor = world, machine, flavor
@@ -45,8 +46,8 @@
         self.target = world.rng.choice(sorted(world.members))
         self.changed = asyncio.Event()
         self.loops: list[asyncio.Task[None]] = []
-        # What stands still while the machine hangs. Its lease does not: who goes on after its
-        # end has killed everything before it does anything else.
+        # Code in this context stops while the machine hangs. The lease timer runs outside it: an
+        # agent that resumes after its lease ended has killed its tasks before anything else.
         self.context = contextvars.Context()
         self.context.run(MEMBER.set, self.name)
 
@@ -54,16 +55,18 @@
         return self.world.spawn(work, self.context)
 
     def start(self) -> None:
+        """Start the report loop and the lease timer."""
         self.loops = [self._spawn(self._report_loop()), self.world.spawn(self._lease_loop())]
 
     def die(self) -> None:
+        """Stop the agent and all of its tasks, as when the machine is lost."""
         self.alive = False
         self._kill_tasks()
         for loop in self.loops:
             loop.cancel()
 
     def _save(self, task: Task) -> None:
-        """Keep what it has done: all of it if it was saved, else to its last checkpoint."""
+        """Record a task's progress: all of it after a flush, else up to its last checkpoint."""
         every, ran = task.spec["savepointS"], self.world.now - task.began
         if every > 0 and task.status in ("running", "saving"):
             kept = ran if task.status == "saving" else ran // every * every
@@ -99,6 +102,7 @@
             await asyncio.sleep(left + 0.01)
 
     def report(self) -> dict[str, Any]:
+        """The next status report, as sent to controllers; increments the sequence number."""
         self.seq += 1
         return {
             "host": self.name,
@@ -123,7 +127,7 @@
         }
 
     async def serve(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any] | None:
-        """A direct command or question of a controller; they do not renew the lease."""
+        """Handle a direct request of a controller; it doesn't renew the lease. None: no answer."""
         answer: tuple[int, Any] | None = await self.world.spawn(
             self._direct(path, body), self.context
         )
@@ -146,7 +150,7 @@
         return 200, self.report()
 
     def _adopt_token(self, baton: int) -> None:
-        """A higher token was seen."""
+        """Accept a higher leader token."""
         self.baton = baton
         self.world.token_adoptions.setdefault(baton, {})[self.name] = self.world.now
         self.changed.set()
@@ -164,7 +168,7 @@
                 await self._try_next_controller()
                 continue
             if world.now - sent > ANSWER_TIMEOUT_S:
-                continue  # it hung meanwhile
+                continue  # the machine hung while it waited, so the answer is too old
             if status == 200 and body.get("baton", -1) >= self.baton and tenure == self.tenure:
                 if body["baton"] > self.baton:
                     self._adopt_token(body["baton"])
@@ -266,7 +270,7 @@
             await self._end(task, seconds, "done")
 
     async def _wait_for_gang(self, task: Task) -> bool:
-        """Wait for the rest of a gang; alone for too long, the task gives up."""
+        """Wait for the other tasks of a gang; the task ends if they miss `GANG_WAIT_S`."""
         world = self.world
         task.status = "waiting"
         self.changed.set()
