--- a/src/chalkgrade/region/adversarial_users.py
+++ b/src/chalkgrade/region/adversarial_users.py
@@ -42,7 +42,7 @@
     # -- cancellations at critical moments -------------------------------------------
 
     def max_remaining_s(self, name: str) -> float:
-        """The longest remaining work of a job's running tasks, in seconds; infinite for services."""
+        """The longest remaining work of a job's running tasks in seconds; services: infinite."""
         return max((self._remaining_s(task) for _, task in self.present_of_job(name)), default=0.0)
 
     def _remaining_s(self, task: Any) -> float:
@@ -127,16 +127,16 @@
     # -- odd requests -----------------------------------------------------------------
 
     async def send_odd_requests(self) -> None:
-        """Resubmit open jobs, cancel ended ones and send invalid ones, until `odd_requests_until`."""
+        """Resubmit open jobs, cancel ended ones and send invalid ones, until the set time."""
         while self.now < self.odd_requests_until:
             await asyncio.sleep(self.rng.uniform(0.0, 2 * ODD_REQUEST_INTERVAL_S))
-            what = self.rng.randrange(3)
-            if what == 0:
+            request_kind = self.rng.randrange(3)
+            if request_kind == 0:
                 open_ones = [n for n, job in self.jobs.items() if job["accepted"]]
                 open_ones = [n for n in open_ones if self.jobs[n]["over"] is None]
                 if open_ones:
                     await self._resubmit(self.rng.choice(open_ones))
-            elif what == 1:
+            elif request_kind == 1:
                 over = [n for n, job in self.jobs.items() if job["over"] == "done"]
                 if over:
                     await self.abort(self.rng.choice(over))
@@ -146,8 +146,8 @@
     def _invalid_submission(self, number: int) -> tuple[str, dict[str, Any]]:
         """The name of a defect and an invalid submission that has it."""
         name = f"run-{number}"
-        known = [job["spec"] for job in self.jobs.values()]
-        good = dict(self.rng.choice(known)) if known else self.spec(number)
+        existing = [job["spec"] for job in self.jobs.values()]
+        good = dict(self.rng.choice(existing)) if existing else self.spec(number)
         good |= {"nameId": name}
         good.pop("waitsOn", None)
         largest = {key: max(flavor[key] for flavor in self.FLAVORS) for key in RESOURCE_FIELDS}
@@ -171,16 +171,16 @@
 
     async def _submit_invalid(self) -> None:
         self.invalid_submissions += 1
-        what, spec = self._invalid_submission(INVALID_JOB_NUMBER + self.invalid_submissions)
+        defect, spec = self._invalid_submission(INVALID_JOB_NUMBER + self.invalid_submissions)
         answer = await self.send_request("POST", "/v2/runs", spec)
         if answer is None:
             return
         if answer[0] in (200, 201):
-            raise Broken(f"accepted_bad: {what} in {spec}")
+            raise Broken(f"accepted_bad: {defect} in {spec}")
         if answer[0] in (400, 422):
-            self.invalid_refusals[what] = self.invalid_refusals.get(what, 0) + 1
+            self.invalid_refusals[defect] = self.invalid_refusals.get(defect, 0) + 1
             found = await self.send_request(
                 "GET", f"/v2/runs/{spec.get('nameId', 'run-799999')}", b""
             )
             if found is not None and found[0] == 200:
-                raise Broken(f"accepted_bad: {what} was refused and is there, {spec}")
+                raise Broken(f"accepted_bad: {defect} was refused and is there, {spec}")
--- a/src/chalkgrade/region/idle.py
+++ b/src/chalkgrade/region/idle.py
@@ -68,8 +68,8 @@
             return
         passed, self.checked_at = world.now - self.checked_at, world.now
         if world.calm_since >= world.now:
-            for kept in (self.rooms, self.team_cpus, self.waiting_since, self.total_waits):
-                kept.clear()
+            for samples in (self.rooms, self.team_cpus, self.waiting_since, self.total_waits):
+                samples.clear()
             return
         spots = self._find_lasting_room()
         live, failed = self._live_tasks(), dict(world.failures)
@@ -90,7 +90,7 @@
                 continue
             # A new failure restarts the wait, since failing jobs are retried slowly. A gap in the
             # room doesn't: room that the scheduler gives up before using it still counts.
-            careful = failed.get(name, 0) != self.failed.get(name, 0)
+            has_failed = failed.get(name, 0) != self.failed.get(name, 0)
             tried = job.get("entered", 0) + failed.get(name, 0)
             sums[name] = (
                 self.total_waits.get(name, 0.0) if self.attempts.get(name) == tried else 0.0
@@ -99,7 +99,7 @@
             found = self._find_room(job["spec"], live.get(name, []), spots)
             if found is None:
                 continue
-            since[name] = world.now if careful else self.waiting_since.get(name, world.now)
+            since[name] = world.now if has_failed else self.waiting_since.get(name, world.now)
             sums[name] += passed if name in self.waiting_since else 0.0
             waited = max(sums[name], world.now - since[name])
             self.longest_wait_s = max(self.longest_wait_s, waited)
@@ -182,32 +182,34 @@
 
         For a gang, there must be room for all of its waiting tasks.
         """
-        lacks = self._missing_tasks(spec, live)
-        wanted = lacks if spec["shape"] == "gang" else 1
-        if not lacks or not self._under_limit(spec, wanted):
+        missing = self._missing_tasks(spec, live)
+        wanted = missing if spec["shape"] == "gang" else 1
+        if not missing or not self._under_limit(spec, wanted):
             return None
         zones = sorted({zone for _, zone, _ in spots})
-        there = [worker.zone for worker, _ in live]
+        used_zones = [worker.zone for worker, _ in live]
         if spec["oneZone"]:
             # The zone in which its tasks run already, or else any single zone.
-            choices: Iterable[list[str]] = [[zone] for zone in zones if not set(there) - {zone}]
+            choices: Iterable[list[str]] = [
+                [zone] for zone in zones if not set(used_zones) - {zone}
+            ]
         else:
             choices = [zones]
         for chosen in choices:
-            found = self._find_room_in(spec, chosen, there, wanted, spots)
+            found = self._find_room_in(spec, chosen, used_zones, wanted, spots)
             if found is not None:
                 return found
         return None
 
     def _find_room_in(
-        self, spec: dict[str, Any], zones: list[str], there: list[str], wanted: int,
+        self, spec: dict[str, Any], zones: list[str], used_zones: list[str], wanted: int,
         spots: dict[MachineKind, list[MachineRoom]],
     ) -> MachineRoom | None:  # fmt: skip
         """The first machine used if `wanted` tasks fit into these zones; None: they don't."""
         first: MachineRoom | None = None
         for zone in zones:
-            may = spec["tasks"] if not spec["spread"] else (spec["tasks"] + 1) // 2
-            may -= there.count(zone) if spec["spread"] else 0
+            allowed = spec["tasks"] if not spec["spread"] else (spec["tasks"] + 1) // 2
+            allowed -= used_zones.count(zone) if spec["spread"] else 0
             for (kind, at, standby), rooms in spots.items():
                 if at != zone or spec["site"] not in (None, zone):
                     continue
@@ -216,25 +218,25 @@
                 if spec["hosttypes"] is not None and kind not in spec["hosttypes"]:
                     continue
                 for spot in rooms:
-                    count = min(may, tasks_that_fit(spot.room, spec))
+                    count = min(allowed, tasks_that_fit(spot.room, spec))
                     if count > 0:
-                        first, wanted, may = first or spot, wanted - count, may - count
+                        first, wanted, allowed = first or spot, wanted - count, allowed - count
                     if wanted <= 0:
                         return first
         return None
 
     def _missing_tasks(self, spec: dict[str, Any], live: list[tuple[Worker, Task]]) -> int:
         """How many of a job's tasks are neither done nor on a machine."""
-        there = {task.name for _, task in live}
+        present = {task.name for _, task in live}
         name = spec["nameId"]
         done = self.world.jobs[name].get("finished", 0)
-        return int(spec["tasks"] - done - sum(one not in self.world.done for one in there))
+        return int(spec["tasks"] - done - sum(one not in self.world.done for one in present))
 
     def _under_limit(self, spec: dict[str, Any], wanted: int) -> bool:
         """Whether `wanted` more tasks would have kept the team within its limit at all checks."""
-        most = self.world.limit(spec["owner"])
+        limit = self.world.limit(spec["owner"])
         held = max(row.get(spec["owner"], 0.0) for row in self.team_cpus)
-        return not most or held + wanted * spec["vcpus"] <= most + CPU_TOLERANCE
+        return not limit or held + wanted * spec["vcpus"] <= limit + CPU_TOLERANCE
 
     def _describe_wait(
         self, name: str, waited: float, live: list[tuple[Worker, Task]], spot: MachineRoom
--- a/src/chalkgrade/region/licences.py
+++ b/src/chalkgrade/region/licences.py
@@ -160,12 +160,12 @@
             await asyncio.sleep(rng.uniform(2.0, 8.0))
             number += 1
             name = f"person-{number}"
-            shelf = server.pools[pool]
-            shelf.expire(self.world.now)
-            if shelf.free <= 0 or self.world.now < server.down_until:
+            seat_pool = server.pools[pool]
+            seat_pool.expire(self.world.now)
+            if seat_pool.free <= 0 or self.world.now < server.down_until:
                 continue
-            shelf.held["people", name] = self.world.now + 1e9
+            seat_pool.held["people", name] = self.world.now + 1e9
             self.people[pool] += 1
             await asyncio.sleep(rng.uniform(5.0, 20.0))
-            shelf.held.pop(("people", name), None)
+            seat_pool.held.pop(("people", name), None)
             self.people[pool] -= 1
--- a/src/chalkgrade/region/rules.py
+++ b/src/chalkgrade/region/rules.py
@@ -18,7 +18,7 @@
 
 
 class Broken(AssertionError):
-    """Raised when a rule of the protocol is broken; the text begins with the rule's name."""
+    """Raised when a rule of the protocol is broken; most texts begin with the rule's name."""
 
 
 class StartedTask(Protocol):
@@ -49,9 +49,8 @@
         self.lost_work_s = 0.0  # work that was done but not checkpointed
         self.started = self.refusals = self.polls = 0
         self.calm_since = START_TIME_S  # time since which no fault is active
-        self.max_stop_delay_s = (
-            0.0  # longest presence of a task after a user was told of its cancellation
-        )
+        # Longest presence of a task after a user was told of its cancellation.
+        self.max_stop_delay_s = 0.0
         self.longest_silence_s = 0.0  # longest time for which polls of a job got no answer
         self.first_used_at: dict[str, float] = {}  # machine -> time of its first launch order
         self.unrequested_stops: list[float] = []  # times when tasks of unaborted jobs were killed
@@ -108,16 +107,16 @@
     def check_start(self, worker: Host, task: StartedTask) -> None:
         """Check all rules that apply when a task starts."""
         spec, name = task.spec, task.name
-        kin = self.present_of_job(spec["nameId"])
-        for other, twin in kin:
-            if twin.name == name:
+        siblings = self.present_of_job(spec["nameId"])
+        for other, sibling in siblings:
+            if sibling.name == name:
                 raise Broken(f"ran_twice: {name} on {worker.name} and {other.name}")
         team = self._teams[spec["owner"]]
         used = self._team_cpus.get(spec["owner"], 0.0)
         if team.cpus_max and used + spec["vcpus"] > team.cpus_max + CPU_TOLERANCE:
             raise Broken(f"quota: {team.name} uses {used + spec['vcpus']}")
         machine = worker.machine
-        zones = [*(other.zone for other, _ in kin), worker.zone]
+        zones = [*(other.zone for other, _ in siblings), worker.zone]
         if (
             (spec["hosttypes"] is not None and machine["hosttype"] not in spec["hosttypes"])
             or (spec["site"] is not None and worker.zone != spec["site"])
@@ -126,9 +125,9 @@
             or (spec["spread"] and zones.count(worker.zone) > (spec["tasks"] + 1) // 2)
         ):
             raise Broken(f"wrong_place: {name} on {machine} with {zones[:-1]}")
-        for before in spec.get("waitsOn") or ():
-            if not self.completed(before):
-                raise Broken(f"too_early: {name} on {worker.name}, {before} is not done")
+        for dependency in spec.get("waitsOn") or ():
+            if not self.completed(dependency):
+                raise Broken(f"too_early: {name} on {worker.name}, {dependency} is not done")
         self.check_cancelled(worker, task)
 
     def finish(self, task: str) -> None:
@@ -194,7 +193,7 @@
         return next((status for status, at in reversed(came) if at < asked), None)
 
     def record_status(self, name: str, answer: dict[str, Any], asked: float | None = None) -> None:
-        """Check a job status that a user received; `asked` is when it was requested (default: now)."""
+        """Check a job status that a user received; `asked`: time of the request, default now."""
         job, status = self.jobs[name], answer["status"]
         asked = self.now if asked is None else asked
         final = status in ("done", "withdrawn")
@@ -296,9 +295,11 @@
         run time, 1.25 times the estimate). 1 means that all work could be done; less means
         that the demand exceeded the capacity.
         """
-        lasted = self.now - START_TIME_S
+        elapsed_s = self.now - START_TIME_S
         sizes = {flavor["sku"]: flavor["vcpus"] for flavor in self.FLAVORS}
-        room = lasted * sum(sizes[kind] * count for (kind, _, _), count in self.ROOMS.items())
+        capacity = elapsed_s * sum(
+            sizes[kind] * count for (kind, _, _), count in self.ROOMS.items()
+        )
         asked: dict[str, float] = {}
         owners: dict[str, set[str]] = {}
         for job in self.jobs.values():
@@ -313,12 +314,12 @@
             owners.setdefault(key, set()).add(spec["owner"])
         out: dict[str, float] = {}
         for number, key in enumerate(sorted(asked, key=asked.__getitem__)):
-            part = min(asked[key], room / (len(asked) - number))
-            most = [self._teams[owner].cpus_max for owner in owners[key]]
-            if all(most):
-                part = min(part, lasted * sum(most))
-            room -= part
-            out[key] = part / asked[key] if asked[key] else 1.0
+            granted = min(asked[key], capacity / (len(asked) - number))
+            maxima = [self._teams[owner].cpus_max for owner in owners[key]]
+            if all(maxima):
+                granted = min(granted, elapsed_s * sum(maxima))
+            capacity -= granted
+            out[key] = granted / asked[key] if asked[key] else 1.0
         return out
 
     def unserved(self) -> list[str]:
--- a/src/chalkgrade/region/troubles.py
+++ b/src/chalkgrade/region/troubles.py
@@ -220,14 +220,14 @@
         """A user that polls known and unknown jobs many times as often as usual."""
         while self.now < self.storm_until:
             await asyncio.sleep(self.rng.uniform(0.05, 0.4))
-            known = [name for name, job in self.jobs.items() if job["accepted"]]
-            if not known or self.rng.random() < 0.2:
+            accepted = [name for name, job in self.jobs.items() if job["accepted"]]
+            if not accepted or self.rng.random() < 0.2:
                 name = f"run-{self.rng.randrange(800000, 899999)}"
                 answer = await self.send_request("GET", f"/v2/runs/{name}", b"")
                 if answer is not None and answer[0] == 200:
                     raise Broken(f"invented: {name}")
                 continue
-            name = self.rng.choice(known)
+            name = self.rng.choice(accepted)
             await self.query_status(name)
 
     async def _preempt(self, name: str, notice: float) -> None:
--- a/src/chalkgrade/region/worker.py
+++ b/src/chalkgrade/region/worker.py
@@ -69,9 +69,9 @@
         """Record a task's progress: all of it after a flush, else up to its last checkpoint."""
         every, ran = task.spec["savepointS"], self.world.now - task.began
         if every > 0 and task.status in ("running", "saving"):
-            kept = ran if task.status == "saving" else ran // every * every
-            self.world.progress[task.name] = task.saved_work_s + kept
-            self.world.lost_work_s += ran - kept
+            saved = ran if task.status == "saving" else ran // every * every
+            self.world.progress[task.name] = task.saved_work_s + saved
+            self.world.lost_work_s += ran - saved
         elif task.status == "running" and task.name not in self.world.done:
             self.world.lost_work_s += ran
 
@@ -211,8 +211,8 @@
             self.changed.set()
         elif order["order"] == "kill" and task is not None and task.status != "ended":
             spec = task.spec
-            wished = self.world.jobs[spec["nameId"]].get("asked") or self.warning is not None
-            if task.present and not wished:
+            is_expected = self.world.jobs[spec["nameId"]].get("asked") or self.warning is not None
+            if task.present and not is_expected:
                 self.world.unrequested_stops.append(self.world.now)
             saves = task.status == "running" and spec["savepointS"] > 0
             if saves and order["graceS"] >= spec["flushS"]:
@@ -227,12 +227,12 @@
         world.first_used_at.setdefault(self.name, world.now)
         job = world.jobs.get(name.rpartition("/")[0])
         task = Task(name, number, job["spec"] if job else {})
-        twin = any(t.name == name and t.status != "ended" for t in self.tasks.values())
+        is_duplicate = any(t.name == name and t.status != "ended" for t in self.tasks.values())
         self.tasks[name, number] = task
         self.changed.set()
         if job is None:
             task.status, task.cause = "ended", "unknown"
-        elif twin:
+        elif is_duplicate:
             task.status, task.cause = "ended", "in_use"
         else:
             cpus, memory = self._used()
@@ -257,11 +257,11 @@
         if spec["shape"] == "service":
             world.jobs[spec["nameId"]]["replicas"].add(task.name)
             return
-        whole = world.task_run_s.setdefault(
+        total_s = world.task_run_s.setdefault(
             task.name, spec["expectedS"] * world.rng.uniform(0.5, 2)
         )
         task.began, task.saved_work_s = world.now, world.progress.get(task.name, 0.0)
-        seconds = 0.0 if task.name in world.done else max(0.0, whole - task.saved_work_s)
+        seconds = 0.0 if task.name in world.done else max(0.0, total_s - task.saved_work_s)
         if world.licensed_tool is not None and not world.licensed_tool.start(task):
             await self._end(task, 0.5 + 0.3 * seconds, "error")  # fails partway through
         elif self.sick or spec["jobclass"] == "doomed":
@@ -278,9 +278,9 @@
         try:
             async with asyncio.timeout(world.GANG_WAIT_S):
                 while True:
-                    there = {t.name for _, t in world.present_of_job(job)}
+                    present = {t.name for _, t in world.present_of_job(job)}
                     names = (f"{job}/{index}" for index in range(task.spec["tasks"]))
-                    if all(name in there or name in world.done for name in names):
+                    if all(name in present or name in world.done for name in names):
                         return True
                     await asyncio.sleep(0.2)
         except TimeoutError:
