--- a/src/chalkgrade/region/idle.py
+++ b/src/chalkgrade/region/idle.py
@@ -89,7 +89,7 @@
             ):
                 continue
             # A new failure restarts the wait, since failing jobs are retried slowly. A gap in the
-            # room doesn't: room that the scheduler gives up before using it still counts.
+            # room doesn't restart the total: room released before its use must not hide a wait.
             has_failed = failed.get(name, 0) != self.failed.get(name, 0)
             tried = job.get("entered", 0) + failed.get(name, 0)
             sums[name] = (
