--- a/src/chalkgrade/experiments/troubles.py
+++ b/src/chalkgrade/experiments/troubles.py
@@ -116,14 +116,14 @@
                     self.found.append(self.now - begun)
                     return
 
-    async def _copy(self, source: str, method: str, path: str, body: Any, late: float) -> None:
+    async def _resend(self, source: str, method: str, path: str, body: Any, late: float) -> None:
         before = {
             member: node.term.fleet.machines.get(source)
             for member, node in self.nodes.items()
             if node is not None and node.term is not None
         }
         keys = {member: (m.tenure, m.seq) for member, m in before.items() if m is not None}
-        await super()._copy(source, method, path, body, late)
+        await super()._resend(source, method, path, body, late)
         # One that a leader took for news although it knew a newer one.
         for member, key in keys.items():
             machine = before[member]
@@ -143,7 +143,7 @@
                 if since is not None:
                     self.gaps.append(self.now - since)
                 since = None
-            elif since is None or self.store.down(""):
+            elif since is None or self.store.is_down(""):
                 since = self.now
 
 
@@ -154,11 +154,11 @@
     assert isinstance(world, Watched)
     lost = [job for job in world.jobs.values() if job.get("accepted") and job["over"] is None]
     served = [*world.served("jobclass").values(), *world.served("owner").values()]
-    begins = world.largest_begin().values()
+    begins = world.largest_start_delays().values()
     return {
         "broken": int(bool(broken)),
         "lost": len(lost),
-        "silent_s_max": round(world.silent_most, 2),
+        "silent_s_max": round(world.longest_silence_s, 2),
         "largest_begin_s_max": round(max(begins, default=0.0), 1),
         "served_least": round(min(served, default=1.0), 3),
         "one_way_found_s_p95": round(percentile(world.found, 0.95), 2),
--- a/src/chalkgrade/region/worker.py
+++ b/src/chalkgrade/region/worker.py
@@ -1,4 +1,4 @@
-"""Machines' agents, as the protocol describes them, and the tasks on them."""
+"""Simulated machine agents, as the protocol describes them, and their tasks."""
 
 import asyncio
 import contextvars
@@ -12,26 +12,27 @@
 from chalkgrade.region.rules import History
 
 WORKER_PORT = 9000
-ANSWER_S = 4.0  # s; an answer that takes longer is dropped; from the protocol
+ANSWER_TIMEOUT_S = 4.0  # set by the protocol; a later answer is dropped
 
 
 class Task:
-    """A task on a worker."""
+    """One attempt of a task on a worker."""
 
     def __init__(self, name: str, number: int, spec: dict[str, Any]) -> None:
         self.name, self.number, self.spec = name, number, spec
         self.status, self.kept = "fetching", False
         self.cause: str | None = None
         self.timers: list[asyncio.Task[None]] = []
-        self.began = self.base = 0.0  # when its work began, and what had been done before
+        self.began = self.saved_work_s = 0.0  # start of its work; seconds checkpointed before
 
     @property
     def present(self) -> bool:
+        """Whether the task has its image and has not ended."""
         return self.status in ("waiting", "running", "saving")
 
 
 class Worker:
-    """One machine's agent, as the protocol describes it."""
+    """The agent of one machine, with its lease, reports and tasks."""
 
     def __init__(self, world: History, machine: dict[str, Any], flavor: dict[str, Any]) -> None:
         self.world, self.machine, self.flavor = world, machine, flavor
@@ -45,8 +46,8 @@
         self.target = world.rng.choice(sorted(world.members))
         self.changed = asyncio.Event()
         self.loops: list[asyncio.Task[None]] = []
-        # What stands still while the machine hangs. Its lease does not: who goes on after its
-        # end has killed everything before it does anything else.
+        # Code in this context stops while the machine hangs. The lease timer runs outside it: an
+        # agent that resumes after its lease ended has killed its tasks before anything else.
         self.context = contextvars.Context()
         self.context.run(MEMBER.set, self.name)
 
@@ -54,44 +55,46 @@
         return self.world.spawn(work, self.context)
 
     def start(self) -> None:
+        """Start the report loop and the lease timer."""
         self.loops = [self._spawn(self._report_loop()), self.world.spawn(self._lease_loop())]
 
     def die(self) -> None:
+        """Stop the agent and all of its tasks, as when the machine is lost."""
         self.alive = False
-        self._drop_all()
+        self._kill_tasks()
         for loop in self.loops:
             loop.cancel()
 
     def _save(self, task: Task) -> None:
-        """Keep what it has done: all of it if it was saved, else to its last checkpoint."""
+        """Record a task's progress: all of it after a flush, else up to its last checkpoint."""
         every, ran = task.spec["savepointS"], self.world.now - task.began
         if every > 0 and task.status in ("running", "saving"):
-            kept = ran if task.status == "saving" else ran // every * every
-            self.world.progress[task.name] = task.base + kept
-            self.world.lost += ran - kept
+            saved = ran if task.status == "saving" else ran // every * every
+            self.world.progress[task.name] = task.saved_work_s + saved
+            self.world.lost_work_s += ran - saved
         elif task.status == "running" and task.name not in self.world.done:
-            self.world.lost += ran
+            self.world.lost_work_s += ran
 
-    def _drop_all(self) -> None:
+    def _kill_tasks(self) -> None:
         for task in self.tasks.values():
             if task.began and task.status != "ended":
                 self._save(task)
             for timer in task.timers:
                 timer.cancel()
-            self._gone(task)
+            self._leave_machine(task)
         self.tasks.clear()
 
-    def _gone(self, task: Task) -> None:
+    def _leave_machine(self, task: Task) -> None:
         self.world.leave(task)
-        if self.world.tool is not None:
-            self.world.tool.end(task)
+        if self.world.licensed_tool is not None:
+            self.world.licensed_tool.end(task)
 
     async def _lease_loop(self) -> None:
         while self.alive:
             left = self.lease_from + self.world.LEASE_S - self.world.now
             if left < 0:
                 self.world.lease_ends += sum(t.status != "ended" for t in self.tasks.values())
-                self._drop_all()
+                self._kill_tasks()
                 self.tenure += 1
                 self.lease_from = self.world.now
                 self.changed.set()
@@ -99,6 +102,7 @@
             await asyncio.sleep(left + 0.01)
 
     def report(self) -> dict[str, Any]:
+        """The next status report, as sent to controllers; increments the sequence number."""
         self.seq += 1
         return {
             "host": self.name,
@@ -123,7 +127,7 @@
         }
 
     async def serve(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any] | None:
-        """A direct command or question of a controller; they do not renew the lease."""
+        """Handle a direct request of a controller; it doesn't renew the lease. None: no answer."""
         answer: tuple[int, Any] | None = await self.world.spawn(
             self._direct(path, body), self.context
         )
@@ -140,15 +144,15 @@
         if data["baton"] < self.baton or data["tenure"] != self.tenure:
             return 409, self.report()
         if data["baton"] > self.baton:
-            self._obey(data["baton"])
+            self._adopt_token(data["baton"])
         for order in data["orders"]:
             self._execute(order)
         return 200, self.report()
 
-    def _obey(self, baton: int) -> None:
-        """A higher token was seen."""
+    def _adopt_token(self, baton: int) -> None:
+        """Accept a higher leader token."""
         self.baton = baton
-        self.world.obeyed.setdefault(baton, {})[self.name] = self.world.now
+        self.world.token_adoptions.setdefault(baton, {})[self.name] = self.world.now
         self.changed.set()
 
     async def _report_loop(self) -> None:
@@ -158,16 +162,16 @@
             self.changed.clear()
             try:
                 status, body = await world.request(
-                    self.name, self.target, "POST", "/hello", self.report(), ANSWER_S
+                    self.name, self.target, "POST", "/hello", self.report(), ANSWER_TIMEOUT_S
                 )
             except NoAnswer:
-                await self._next_node()
+                await self._try_next_controller()
                 continue
-            if world.now - sent > ANSWER_S:
-                continue  # it hung meanwhile
+            if world.now - sent > ANSWER_TIMEOUT_S:
+                continue  # the machine hung while it waited, so the answer is too old
             if status == 200 and body.get("baton", -1) >= self.baton and tenure == self.tenure:
                 if body["baton"] > self.baton:
-                    self._obey(body["baton"])
+                    self._adopt_token(body["baton"])
                 self.lease_from = max(self.lease_from, sent)
                 for order in body["orders"]:
                     self._execute(order)
@@ -179,7 +183,7 @@
                 self.target = body["reportsTo"]
                 continue
             elif status != 200:
-                await self._next_node()
+                await self._try_next_controller()
                 continue
             await asyncio.sleep(0.5)
             try:
@@ -188,7 +192,7 @@
             except TimeoutError:
                 pass
 
-    async def _next_node(self) -> None:
+    async def _try_next_controller(self) -> None:
         names = sorted(self.world.members)
         self.target = names[(names.index(self.target) + 1) % len(names)]
         await asyncio.sleep(1.0)
@@ -207,9 +211,9 @@
             self.changed.set()
         elif order["order"] == "kill" and task is not None and task.status != "ended":
             spec = task.spec
-            wished = self.world.jobs[spec["nameId"]].get("asked") or self.warning is not None
-            if task.present and not wished:
-                self.world.stops.append(self.world.now)
+            is_expected = self.world.jobs[spec["nameId"]].get("asked") or self.warning is not None
+            if task.present and not is_expected:
+                self.world.unrequested_stops.append(self.world.now)
             saves = task.status == "running" and spec["savepointS"] > 0
             if saves and order["graceS"] >= spec["flushS"]:
                 task.status = "saving"
@@ -220,15 +224,15 @@
 
     def _launch(self, name: str, number: int) -> None:
         world = self.world
-        world.used.setdefault(self.name, world.now)
+        world.first_used_at.setdefault(self.name, world.now)
         job = world.jobs.get(name.rpartition("/")[0])
         task = Task(name, number, job["spec"] if job else {})
-        twin = any(t.name == name and t.status != "ended" for t in self.tasks.values())
+        is_duplicate = any(t.name == name and t.status != "ended" for t in self.tasks.values())
         self.tasks[name, number] = task
         self.changed.set()
         if job is None:
             task.status, task.cause = "ended", "unknown"
-        elif twin:
+        elif is_duplicate:
             task.status, task.cause = "ended", "in_use"
         else:
             cpus, memory = self._used()
@@ -245,7 +249,7 @@
             await asyncio.sleep(spec["pullGb"] / self.flavor["pullGbPerS"])
             self.images.add(spec["bundle"])
         world.enter(self, task)
-        if spec["shape"] == "gang" and not await self._gather(task):
+        if spec["shape"] == "gang" and not await self._wait_for_gang(task):
             return
         task.status = "running"
         world.started += 1
@@ -253,18 +257,20 @@
         if spec["shape"] == "service":
             world.jobs[spec["nameId"]]["replicas"].add(task.name)
             return
-        whole = world.runs.setdefault(task.name, spec["expectedS"] * world.rng.uniform(0.5, 2))
-        task.began, task.base = world.now, world.progress.get(task.name, 0.0)
-        seconds = 0.0 if task.name in world.done else max(0.0, whole - task.base)
-        if world.tool is not None and not world.tool.start(task):
+        total_s = world.task_run_s.setdefault(
+            task.name, spec["expectedS"] * world.rng.uniform(0.5, 2)
+        )
+        task.began, task.saved_work_s = world.now, world.progress.get(task.name, 0.0)
+        seconds = 0.0 if task.name in world.done else max(0.0, total_s - task.saved_work_s)
+        if world.licensed_tool is not None and not world.licensed_tool.start(task):
             await self._end(task, 0.5 + 0.3 * seconds, "error")  # fails partway through
         elif self.sick or spec["jobclass"] == "doomed":
             await self._end(task, 0.5, "error")
         else:
             await self._end(task, seconds, "done")
 
-    async def _gather(self, task: Task) -> bool:
-        """Wait for the rest of a gang; alone for too long, the task gives up."""
+    async def _wait_for_gang(self, task: Task) -> bool:
+        """Wait for the other tasks of a gang; the task ends if they miss `GANG_WAIT_S`."""
         world = self.world
         task.status = "waiting"
         self.changed.set()
@@ -272,9 +278,9 @@
         try:
             async with asyncio.timeout(world.GANG_WAIT_S):
                 while True:
-                    there = {t.name for _, t in world.of_job(job)}
+                    present = {t.name for _, t in world.present_of_job(job)}
                     names = (f"{job}/{index}" for index in range(task.spec["tasks"]))
-                    if all(name in there or name in world.done for name in names):
+                    if all(name in present or name in world.done for name in names):
                         return True
                     await asyncio.sleep(0.2)
         except TimeoutError:
@@ -299,7 +305,7 @@
         if cause == "error":
             failures = self.world.failures
             failures[task.spec["nameId"]] = failures.get(task.spec["nameId"], 0) + 1
-        self._gone(task)
+        self._leave_machine(task)
         current = asyncio.current_task()
         for timer in task.timers:
             if timer is not current:
--- a/src/chalkgrade/renting/cloud.py
+++ b/src/chalkgrade/renting/cloud.py
@@ -64,7 +64,10 @@
         self.last_response_at = self.last_failure_at = -1e9
 
     def is_reachable(self) -> bool | None:
-        """Whether the last call got an answer; None without a call in the last `REACHED_S` s."""
+        """Whether the last call got an answer.
+
+        None if there was no call in the last `CLOUD_REACHABLE_S` seconds.
+        """
         last = max(self.last_response_at, self.last_failure_at)
         if self._clock.now() - last > constants.CLOUD_REACHABLE_S:
             return None
--- a/src/chalkgrade/renting/renter.py
+++ b/src/chalkgrade/renting/renter.py
@@ -110,7 +110,10 @@
         return self.report.samples()
 
     def _log_report(self, now: float) -> None:
-        """Logs the last plan by team, at info level every `TELL_EVERY_S` seconds, else at debug."""
+        """Logs the last plan by team.
+
+        It is logged at info level every `STATUS_LOG_INTERVAL_S` seconds, else at debug level.
+        """
         if not self.report.teams:
             return
         often = now - self.report_logged_at < constants.STATUS_LOG_INTERVAL_S
@@ -404,7 +407,8 @@
         """Whether a machine is still booting.
 
         Under a new leader no machine has reported at first. Machines that it did not rent
-        itself count as booting only after they had `BOOT_KNOWN_S` seconds to report.
+        itself count as booting only after they had `NEW_TERM_FIRST_REPORT_TIMEOUT_S` seconds to
+        report.
         """
         return (
             machine.reported_at is None
--- a/src/chalkgrade/serving/job_status.py
+++ b/src/chalkgrade/serving/job_status.py
@@ -24,7 +24,8 @@
 from chalkgrade.serving.record_reader import RETRY_LATER, Answer, RecordReader
 from chalkgrade.state.client import NotExecuted, Rejected
 
-COMMITS_OPEN = 409  # between controllers: an `Account` with open commits, which are to be read
+# Between controllers: a `JobStatusReport` with open commits, which are to be read.
+COMMITS_OPEN = 409
 FINAL_STATUSES = ("done", "withdrawn")
 
 AskLeader = Callable[[str], Awaitable[Answer]]  # returns the leader's answer
--- a/src/chalkgrade/state/lease_expiry.py
+++ b/src/chalkgrade/state/lease_expiry.py
@@ -15,7 +15,7 @@
    read proves only its own moment, a commit proves no more than the lease does, and the end of
    an outage proves nothing, since the lease may have ended before the outage began.
 3. A cancellation that own commits may have made durable counts as confirmed from the moment it
-   is requested (`Book.abort`), whether or not the commit was answered. Cancellations that
+   is requested (`JobRegistry.abort`), whether or not the commit was answered. Cancellations that
    earlier leaders made durable were read after this controller got the key, before it answered
    any worker.
 4. So a user who is told of a cancellation unknown to this leader is told after
--- a/tests/piped.py
+++ b/tests/piped.py
@@ -23,7 +23,7 @@
     """Returns the code of the version that deploy/service.toml names; may raise NoHistory."""
     if not _loaded:
         room = Path(tempfile.mkdtemp(prefix="production-"))
-        _loaded.append(versions.load(ROOT, versions.production(ROOT), room))
+        _loaded.append(versions.load(ROOT, versions.production_commit(ROOT), room))
     return _loaded[0]
 
 
@@ -60,13 +60,13 @@
 class Piped(World):
     """A world in which half of the jobs name earlier ones; limits and versions may change."""
 
-    PIPED = 0.5
+    PIPELINE_SHARE = 0.5
     STATE = {"rps": 200, "write_rps": 40, "txn_ops": 16, "value_kb": 16, "next": NEXT}
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.store = CheckedStore(self)
-        self.luck = random.Random(args[1])
+        self.pipeline_rng = random.Random(args[1])
 
     def boot(self, member: str, home: str | None = None) -> None:
         super().boot(member, home)
@@ -104,12 +104,12 @@
 
     async def falls(self, after: float) -> None:
         await asyncio.sleep(after)
-        self.store.fall()
+        self.store.lower_limits()
 
     async def upgrade(self, before: float, between: tuple[float, float]) -> None:
         """Restarts the controllers one after the other with this version."""
         await asyncio.sleep(before)
-        for member in self.luck.sample(self.members, len(self.members)):
+        for member in self.pipeline_rng.sample(self.members, len(self.members)):
             del self.versions[member]
-            await self.restart(member, self.luck.uniform(0.05, 4.0))
-            await asyncio.sleep(self.luck.uniform(*between))
+            await self.restart(member, self.pipeline_rng.uniform(0.05, 4.0))
+            await asyncio.sleep(self.pipeline_rng.uniform(*between))
--- a/tests/test_one_way.py
+++ b/tests/test_one_way.py
@@ -18,7 +18,7 @@
 from chalkgrade.machines.response_tracking import ResponseTracker
 from chalkgrade.outside import NoAnswer
 from chalkgrade.record.jobs import END_PREFIX, JOB_PREFIX
-from chalkgrade.region.loop import HandClock, VirtualLoop
+from chalkgrade.region.loop import ManualClock, VirtualLoop
 from chalkgrade.region.rules import Broken, History
 from chalkgrade.region.world import World, play, tell
 from chalkgrade.serving.lookups import Lookups
@@ -84,7 +84,7 @@
             if node is not None and node.term is not None and world.now > begun + 40.0:
                 for name in chosen:
                     machine = node.term.fleet.machines.get(name)
-                    if machine is not None and world._cut("n-0", name) is not None:
+                    if machine is not None and world._find_cut("n-0", name) is not None:
                         assert not node.term.fleet.usable(machine), name
             await asyncio.sleep(0.5)
         for job in world.jobs.values():  # the failures are not attributed to the jobs
@@ -108,7 +108,7 @@
     Neither several copies of its reports nor one of its first report, which carries no token, may
     make the machine usable.
     """
-    clock = HandClock()
+    clock = ManualClock()
     new_leader = Fleet(clock, 50, LEASE_S, REPORT_S)
     made = Report("host-9", 2, 40, 41, "quad", "a")
     machine = new_leader.accept_report(made)
@@ -140,18 +140,18 @@
         for seq, status in ((7, 421), (7, 421), (5, 421)):
             made = {"host": "host-900", "tenure": 2, "seq": seq, "baton": 1, "hosttype": "small"}
             raw = msgspec.json.encode(made | {"site": "a", "tasks": []})
-            answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+            answer = await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
             assert answer == (status, {"reportsTo": lead})
         assert not reception.relayed_since and not reception.returns_at
         assert other.views.by_member[lead].returned_at == before
         # A newer report at once: the earlier ones were copies, and this is from the worker.
         raw = raw.replace(b'"seq":5', b'"seq":8')
-        answer = await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+        answer = await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
         assert answer == (421, {"reportsTo": lead}) and not reception.relayed_since
         assert other.views.by_member[lead].returned_at == before
         await asyncio.sleep(1.0)
         raw = raw.replace(b'"seq":8', b'"seq":9')
-        await world.within(other.settings.member, other.handle("POST", "/hello", raw))
+        await world.run_as(other.settings.member, other.handle("POST", "/hello", raw))
         assert other.views.by_member[lead].returned_at > before  # newer and later: it did come back
 
     tell(story, loss=0.0)
@@ -219,8 +219,8 @@
 
     KINDS = 21
 
-    def trouble(self, kind: int, seconds: float) -> None:
-        super().trouble(kind if kind % 2 else 17 + kind // 2 % 4, seconds)
+    def start_trouble(self, kind: int, seconds: float) -> None:
+        super().start_trouble(kind if kind % 2 else 17 + kind // 2 % 4, seconds)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -228,8 +228,8 @@
     """All jobs finish, and users get answers, on a random day with many of these faults."""
     world = play(seed + 300, jobs=30, kind=OneWayFaults)
     assert not [name for name, job in world.jobs.items() if not job["over"]]
-    assert world.silent_most < 20.0
-    assert max(world.largest_begin().values()) < 240.0
+    assert world.longest_silence_s < 20.0
+    assert max(world.largest_start_delays().values()) < 240.0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -256,22 +256,22 @@
     try:
         world.jobs["run-1"] = {"spec": spec_of("run-1"), "aborted": None, "accepted": True}
         loop._virtual.now = 1000.0
-        world.calm_from = 1000.0
+        world.calm_since = 1000.0
         for at in range(1000, 1075, 5):
             loop._virtual.now = float(at)
-            world.questioned("run-1", False)
+            world.record_poll("run-1", False)
         loop._virtual.now = 1074.0
-        world.questioned("run-1", True)
+        world.record_poll("run-1", True)
         loop._virtual.now = 1080.0
-        world.questioned("run-1", False)
+        world.record_poll("run-1", False)
         loop._virtual.now = 1154.0
-        world.questioned("run-1", False)
-        world.calm_from = 1150.0  # faults lasted until then
+        world.record_poll("run-1", False)
+        world.calm_since = 1150.0  # faults lasted until then
         loop._virtual.now = 1220.0
-        world.questioned("run-1", False)
+        world.record_poll("run-1", False)
         loop._virtual.now = 1226.0
         with pytest.raises(Broken, match="forgotten: nothing was told of run-1"):
-            world.questioned("run-1", False)
+            world.record_poll("run-1", False)
     finally:
         loop.close()
 
@@ -356,14 +356,16 @@
             while world.now < end:
                 await asyncio.sleep(world.rng.uniform(0.0, 0.04))
                 world.spawn(
-                    world.ask("GET", f"/v2/runs/run-{world.rng.randrange(10**6, 10**7)}", b"")
+                    world.send_request(
+                        "GET", f"/v2/runs/run-{world.rng.randrange(10**6, 10**7)}", b""
+                    )
                 )
 
         async def user(name: str) -> None:
             silent[name] = world.now
             while world.now < end:
                 await asyncio.sleep(world.rng.uniform(2.0, 5.0))
-                answer = await world.ask("GET", f"/v2/runs/{name}", b"")
+                answer = await world.send_request("GET", f"/v2/runs/{name}", b"")
                 if answer is not None and answer[0] == 200:
                     silent.pop(name)
                     return
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -213,7 +213,7 @@
         node = world.nodes[member]
         assert node is not None
         raw = msgspec.json.encode(submission)
-        answer: tuple[int, Any] = await world.within(member, node.handle("POST", "/v2/runs", raw))
+        answer: tuple[int, Any] = await world.run_as(member, node.handle("POST", "/v2/runs", raw))
         if answer[0] != 503:
             break
         await asyncio.sleep(0.5)
@@ -270,7 +270,7 @@
         node = world.nodes["n-0"]
         assert node is not None
         unknown = msgspec.json.encode(_named(world, 900, ["run-000001", "run-777777"]))
-        assert (await world.within("n-0", node.handle("POST", "/v2/runs", unknown)))[0] == 503
+        assert (await world.run_as("n-0", node.handle("POST", "/v2/runs", unknown)))[0] == 503
 
     tell(scenario, loss=0.0, kind=Piped)
 
@@ -283,7 +283,7 @@
     """
 
     async def scenario(world: World) -> None:
-        world.store.fall()
+        world.store.lower_limits()
         names = []
         for number in range(1, 21):
             submission = _named(world, number, [], tasks=1, expectedS=0.5 if number < 20 else 12.0)
@@ -340,7 +340,7 @@
     """
 
     async def scenario(world: World) -> None:
-        world.store.fall()
+        world.store.lower_limits()
         first = _named(world, 1, [], expectedS=500.0, tasks=1)
         first["waitsOn"] = None
         assert (await _submit(world, first))[0] == 201
@@ -361,13 +361,13 @@
             assert node is not None
             while True:
                 raw = msgspec.json.encode(submission)
-                if (await world.within("n-1", node.handle("POST", "/v2/runs", raw)))[0] < 300:
+                if (await world.run_as("n-1", node.handle("POST", "/v2/runs", raw)))[0] < 300:
                     break
         world.jobs["run-000001"]["asked"] = True
         while world.jobs["run-000001"]["aborted"] is None:
-            answer = await world.ask("POST", "/v2/runs/run-000001/abort", b"")
+            answer = await world.send_request("POST", "/v2/runs/run-000001/abort", b"")
             if answer is not None and answer[0] == 200:
-                world.heard("run-000001", answer[1])
+                world.record_status("run-000001", answer[1])
         told = world.now
         for member in world.leaders() if case in ("leader lost", "leader gone") else ():
             world.crash(member)
@@ -382,10 +382,10 @@
         right = 0
         while world.now < told + world.CANCEL_S + 12.0:
             name = world.rng.choice(names)
-            answer = await world.ask("GET", f"/v2/runs/{name}", b"")
+            answer = await world.send_request("GET", f"/v2/runs/{name}", b"")
             assert answer is None or answer[0] != 404
             if answer is not None and answer[0] == 200:
-                world.heard(name, answer[1])  # orphaned, went_back
+                world.record_status(name, answer[1])  # orphaned, went_back
                 right += answer[1]["status"] == "withdrawn"
             await asyncio.sleep(0.1)
         assert right > 20
@@ -419,7 +419,7 @@
                 node = world.nodes[member]
                 assert node is not None
                 raw = msgspec.json.encode(submission)
-                answer = await world.within(member, node.handle("POST", "/v2/runs", raw))
+                answer = await world.run_as(member, node.handle("POST", "/v2/runs", raw))
                 known = {201, 503} if waits == ["run-000001"] else {422, 503}
                 assert answer[0] in known, (waits, answer)
                 seen.add(answer[0])
@@ -440,13 +440,13 @@
         assert isinstance(world, Piped)
 
         async def trouble() -> None:
-            world.spawn(world.falls(world.luck.uniform(5.0, 50.0)))
+            world.spawn(world.falls(world.pipeline_rng.uniform(5.0, 50.0)))
             while world.now < 1080.0:
-                for member in world.luck.sample(world.members, len(world.members)):
-                    await asyncio.sleep(world.luck.uniform(0.5, 4.0))
-                    await world.restart(member, world.luck.uniform(0.05, 2.0))
-                slow = world.luck.choice(world.members)
-                world.loop.freeze(slow, world.now + world.luck.uniform(0.3, 2.5))
+                for member in world.pipeline_rng.sample(world.members, len(world.members)):
+                    await asyncio.sleep(world.pipeline_rng.uniform(0.5, 4.0))
+                    await world.restart(member, world.pipeline_rng.uniform(0.05, 2.0))
+                slow = world.pipeline_rng.choice(world.members)
+                world.loop.freeze(slow, world.now + world.pipeline_rng.uniform(0.3, 2.5))
 
         world.spawn(trouble())
 
