--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -130,7 +130,7 @@
 
         class writes:
             @staticmethod
-            def level() -> float:
+            def available_tokens() -> float:
                 return 8.0
 
     changes: list[RecordChange] = []
