--- a/src/chalkgrade/experiments/moves.py
+++ b/src/chalkgrade/experiments/moves.py
@@ -312,10 +312,10 @@
     for number in range(large):
         job(900_000 + number, 1, urgency="high", vcpus=12.0, memoryGb=20.0, savepointS=0.0)
     clock.at += 10.0
-    office: Any = SimpleNamespace(settings=settings, clock=clock)
+    context: Any = SimpleNamespace(settings=settings, clock=clock)
     book: Any = SimpleNamespace(jobs=jobs)
     renter: Any = SimpleNamespace(boot_times=BootTimes())
-    domain = TermContext(office, book, fleet, queues, flavors, lambda: True)
+    domain = TermContext(context, book, fleet, queues, flavors, lambda: True)
     moves = part.Moves(
         domain, MoveSettings(per_minute=6000.0), renter, lambda job, count: count, lambda _: False
     )
--- a/src/chalkgrade/pipelines/part.py
+++ b/src/chalkgrade/pipelines/part.py
@@ -94,7 +94,7 @@
             names = job.submitted_spec.waitsOn or []
             shown = ", ".join(names[: constants.MAX_LOGGED_JOBS])
             more = f" and {len(names) - constants.MAX_LOGGED_JOBS} more"
-            fields = decision_fields(self.registry.office.token, job.name)
+            fields = decision_fields(self.registry.context.token, job.name)
             more = more if len(names) > constants.MAX_LOGGED_JOBS else ""
             log.info("job blocked: %s waits for %s%s", job.name, shown, more, extra=fields)
         if self.started:
@@ -108,7 +108,7 @@
 
     def _on_released(self, job: Job) -> None:
         self.event_counts["released"] += 1
-        fields = decision_fields(self.registry.office.token, job.name)
+        fields = decision_fields(self.registry.context.token, job.name)
         self.requirements_changed = True
         self.update_requirements()
         text = "nobody with a deadline needs it"
@@ -123,7 +123,7 @@
 
     def _on_cancelled(self, job: Job) -> None:
         self.event_counts["cancelled"] += 1
-        fields = decision_fields(self.registry.office.token, job.name)
+        fields = decision_fields(self.registry.context.token, job.name)
         log.info("job cancelled with a predecessor: %s", job.name, extra=fields)
         self.requirements_changed = True
         self.submitted_this_term.discard(job.name)
--- a/src/chalkgrade/record/registry.py
+++ b/src/chalkgrade/record/registry.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        office: LeaderContext,
+        context: LeaderContext,
         remember: Callable[[str, str, int], object],
         on_job: Callable[[Job, bool], None],
     ) -> None:
@@ -59,10 +59,10 @@
         `remember` is called with the name, final status and number of done tasks of each job that
         ended; `on_job` with each job that was added, and whether it was submitted just now.
         """
-        self.office = office
-        self.ledger = office.ledger
-        self.clock = office.clock
-        self.limits = office.ledger.limits
+        self.context = context
+        self.ledger = context.ledger
+        self.clock = context.clock
+        self.limits = context.ledger.limits
         self.persisted_values: list[PersistedValue] = []  # subsystems' values, in loading order
         self.remember_final_state = remember  # reports final states to the job API
         self.on_job_added = on_job  # called with each added job; True: just submitted
@@ -187,7 +187,10 @@
         if job.in_pipeline:
             job.block()  # until all its dependencies are known to be done
         log.debug(
-            "job %s: %d tasks", name, job.spec.tasks, extra=decision_fields(self.office.token, name)
+            "job %s: %d tasks",
+            name,
+            job.spec.tasks,
+            extra=decision_fields(self.context.token, name),
         )
         self.on_job_added(job, observe)
 
@@ -283,7 +286,7 @@
         )
         if batch is None:
             self.batch_number += 1
-            batch = Batch(f"{BATCH_PREFIX}{self.office.token}-{self.batch_number}")
+            batch = Batch(f"{BATCH_PREFIX}{self.context.token}-{self.batch_number}")
         size = batch.size
         admitted: list[Admission] = []
         for admission in candidates:
@@ -421,7 +424,7 @@
                 "job ended: %s: %s",
                 job.name,
                 status,
-                extra=decision_fields(self.office.token, job.name),
+                extra=decision_fields(self.context.token, job.name),
             )
             self.on_job_ended(job, status)
 
@@ -454,7 +457,7 @@
                 "job aborted: %s with %d live attempts",
                 job.name,
                 len(job.live),
-                extra=decision_fields(self.office.token, job.name),
+                extra=decision_fields(self.context.token, job.name),
             )
             self.on_job_aborted(job)
 
@@ -492,7 +495,7 @@
         remaining = list(values)
         numbers = itertools.count(len(self.batches))
         while remaining and len(new_batches) < max(1, self.limits.txn_ops - 1):
-            new_batch = Batch(f"{batch.key}-{self.office.token}-{next(numbers):04d}")
+            new_batch = Batch(f"{batch.key}-{self.context.token}-{next(numbers):04d}")
             if new_batch.key in self.batches:
                 continue
             size = 0
--- a/src/chalkgrade/record/writer.py
+++ b/src/chalkgrade/record/writer.py
@@ -30,11 +30,11 @@
 class Writer:
     """Commits the changes by which the leader's memory is ahead of the state service."""
 
-    def __init__(self, office: LeaderContext, registry: JobRegistry) -> None:
+    def __init__(self, context: LeaderContext, registry: JobRegistry) -> None:
         self.admitted_at = -1e9  # when the last commit of submissions was sent
-        self.office = office
+        self.context = context
         self.registry = registry
-        self.ledger = office.ledger
+        self.ledger = context.ledger
         self.in_flight = InFlightCommits()  # the commits in progress
         self.progress_count = 0  # commits of the main lane, and times that it became idle
         self.is_idle = True  # the main lane has nothing to write
@@ -140,7 +140,7 @@
             await asyncio.sleep(constants.WRITE_STALL_CHECK_INTERVAL_S)
             mark = self._progress_mark()
             made_progress = (
-                self.is_idle or mark != last_mark or not self.office.leadership.may_act()
+                self.is_idle or mark != last_mark or not self.context.leadership.may_act()
             )
             stalled_s, last_mark = (
                 0.0 if made_progress else stalled_s + constants.WRITE_STALL_CHECK_INTERVAL_S,
@@ -159,8 +159,8 @@
         allows a single end, a third of the possible ends would be written: at four small jobs a
         second, users were told that a job is done only a minute after its end.
         """
-        writes, started_at = self.ledger.writes, self.office.clock.now()
-        while self.office.clock.now() < started_at + constants.MAX_JOB_END_BATCH_WAIT_S:
+        writes, started_at = self.ledger.writes, self.context.clock.now()
+        while self.context.clock.now() < started_at + constants.MAX_JOB_END_BATCH_WAIT_S:
             needed_ops = min(
                 constants.JOB_END_OPS + len(self.registry.ending),
                 constants.JOB_END_BATCH_RATIO * writes.max_tokens,
@@ -176,7 +176,7 @@
         Half of the budget is left to other changes. Submissions need one change each, and would
         otherwise take every change before the several that an end needs at once are available.
         """
-        writes, now = self.ledger.writes, self.office.clock.now
+        writes, now = self.ledger.writes, self.context.clock.now
         if writes.available_tokens() < constants.UNBATCHED_ADMISSION_RATIO * writes.max_tokens:
             await asyncio.sleep(constants.COMMIT_COALESCING_S)  # let more submissions join
         while writes.available_tokens() < constants.UNBATCHED_ADMISSION_RATIO * writes.max_tokens:
@@ -203,7 +203,7 @@
             if change is None or change.batch is None:
                 self.registry.admit_wanted.clear()
                 continue
-            self.admitted_at = self.office.clock.now()
+            self.admitted_at = self.context.clock.now()
             await self._write([change], {change.batch: change.edits})
             for admission in change.admissions:
                 admission.sent = False  # retry those left; others are resolved
@@ -244,7 +244,7 @@
         writes += [batch.key_write(edit) for batch, edit in edits.items()]
         conditions = {key: 0 for change in changes for key in change.absent_keys}
         conditions |= {write.key: write.stamp for write in writes if write.stamp >= 0}
-        conditions[LEADER_KEY] = self.office.token
+        conditions[LEADER_KEY] = self.context.token
         apply: list[dict[str, Any]] = [
             {"remove": w.key} if w.value is None else {"write": w.key, "v": w.value} for w in writes
         ]
@@ -252,7 +252,7 @@
         while True:
             # After a long silence another node may lead. The fence would reject this commit, but
             # it would use up changes of the budget that belongs to the new leader by then.
-            while not self.office.leadership.may_act():
+            while not self.context.leadership.may_act():
                 await asyncio.sleep(constants.STATE_RETRY_INTERVAL_S)
             try:
                 async with asyncio.timeout(constants.COMMIT_TIMEOUT_S):
@@ -279,7 +279,7 @@
                 if await self._drop_known_submissions(changes, conflict.failed):
                     return 0
                 log.warning("commit conflict: %s; stepping down", conflict)
-                self.office.leadership.step_down()
+                self.context.leadership.step_down()
                 await asyncio.Event().wait()  # the term's tasks are cancelled meanwhile
             except Rejected as error:
                 largest = max((len(w.value) for w in writes if w.value is not None), default=0)
@@ -292,7 +292,7 @@
                         revision = await self._applied_revision(writes)
                     return revision
                 log.error("commit rejected: %s; stepping down", error)
-                self.office.leadership.step_down()
+                self.context.leadership.step_down()
                 await asyncio.Event().wait()
 
     async def _drop_known_submissions(self, changes: list[RecordChange], failed: list[str]) -> bool:
@@ -361,9 +361,9 @@
             leader_row = await self.ledger.get(LEADER_KEY)
         except (NoAnswer, NotExecuted):
             return None
-        if leader_row is None or leader_row.stamp != self.office.token:
+        if leader_row is None or leader_row.stamp != self.context.token:
             return None
-        return stamp or self.office.token  # the revision of a removal is not stored anywhere
+        return stamp or self.context.token  # the revision of a removal is not stored anywhere
 
 
 def _may_be_written_elsewhere(write: KeyWrite) -> bool:
--- a/src/chalkgrade/serving/node.py
+++ b/src/chalkgrade/serving/node.py
@@ -161,9 +161,9 @@
     def _begin_term(self, token: int) -> None:
         self.handover.fitness.start_leading()
         self.watch.ping_all()
-        office = LeaderContext(self.settings, token, self.leadership, self.ledger, self.clock)
+        context = LeaderContext(self.settings, token, self.leadership, self.ledger, self.clock)
         self.term = Term(
-            office,
+            context,
             self.cloud,
             self.flavors,
             self.job_api.remember_final_state,
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -134,11 +134,11 @@
                 return 8.0
 
     changes: list[RecordChange] = []
-    office: Any = SimpleNamespace(ledger=Ledger, token=1)
+    context: Any = SimpleNamespace(ledger=Ledger, token=1)
     registry: Any = SimpleNamespace(
         pending_changes=lambda: changes, oplog=SimpleNamespace(pending=())
     )
-    writer = Writer(office, registry)
+    writer = Writer(context, registry)
     changes.append(RecordChange(lambda revision: None, [KeyWrite("cg/a", 0, b"x" * 101)]))  # type: ignore[list-item]
     assert writer.collect_changes()[0] == [] and writer.unwritable_sizes == {"cg/a": 101}
     changes[0].writes[0].value = b"x"  # type: ignore[assignment]
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -541,7 +541,7 @@
             async def get(name: str) -> Any:
                 row = await plain(name)
                 if name == LEADER_KEY and row is not None:
-                    row.stamp = writer.office.token
+                    row.stamp = writer.context.token
                 return row
 
             old.ledger.get = get
