--- a/tests/test_placement_rentals.py
+++ b/tests/test_placement_rentals.py
@@ -110,7 +110,10 @@
 
 
 def test_rents_the_cheapest_useful_room() -> None:
-    """Only capacity that the tasks can fill counts: four tasks don't justify a large machine."""
+    """Only capacity that the tasks can fill counts: four tasks don't justify a large machine.
+
+    A small machine for 0.1 is chosen over a large one for 1.6, even if it isn't cheaper per CPU.
+    """
     assert plan_rentals([RentalNeed(spec(), 4, 50.0, 20.0)], [], FLAVORS, []) == {
         ("small", "a", True): 1
     }
