--- a/src/chalkgrade/serving/cancellation_poll.py
+++ b/src/chalkgrade/serving/cancellation_poll.py
@@ -93,9 +93,9 @@
                 await self._poll_members(term)
 
     async def _poll_members(self, term: Term) -> None:
-        shelter = self._leadership.lease_expiry
+        expiry = self._leadership.lease_expiry
         asked_at = self._clock.now()
-        ago_s = asked_at - shelter.cancellations_known_until
+        ago_s = asked_at - expiry.cancellations_known_until
         request = {"q": "told", "arg": ago_s}
         answers = await asyncio.gather(
             *(self._peers.ask(m, request, constants.PEER_REQUEST_TIMEOUT_S) for m in self._others),
@@ -110,7 +110,7 @@
         # Apply the cancellations before the leader counts as knowing them all.
         term.apply_reported_cancellations({name for names in lists for name in names or ()})
         if all(names is not None for names in lists):
-            shelter.record_peer_lists(asked_at)
+            expiry.record_peer_lists(asked_at)
             log.debug("cancellation lists complete: worker leases are renewed for longer")
 
     @staticmethod
